--- a/packages/core/src/crowrudder_core/catalog/__init__.py
+++ b/packages/core/src/crowrudder_core/catalog/__init__.py
@@ -1,4 +1,4 @@
-"""Published records: their order, and what a fleet looks like by them."""
+"""Published records: replication, ordering and the fleet state they form."""
 
 from crowrudder_core.catalog._answer_timeout import AnswerTimeout
 from crowrudder_core.catalog._catalog import Catalog
--- a/packages/core/src/crowrudder_core/catalog/_answer_timeout.py
+++ b/packages/core/src/crowrudder_core/catalog/_answer_timeout.py
@@ -1,43 +1,45 @@
-"""How long to wait for records that another process was asked for."""
+"""Adaptive timeout for record requests to other processes."""
 
 from __future__ import annotations
 
 from attrs import define
 
-SHORTEST_S = 1.0
-LONGEST_S = 4.0
-"""With the most that a slow link has to carry beside; who never answers must
-not keep a process from asking another one for longer."""
+MIN_TIMEOUT_S = 1.0
+MAX_TIMEOUT_S = 4.0
+"""Covers an answer on a slow link at full load. A peer that never answers
+delays the request to another peer by at most this time."""
 
-SPARE = 2.0
-"""Times the last answer's time that the next one may take, and by which the
-time-out grows after one that didn't come."""
+TIMEOUT_FACTOR = 2.0
+"""Ratio of the next timeout to the last answer's duration, and growth of the
+timeout after a request that timed out."""
 
 
 @define
 class AnswerTimeout:
-    """A time-out that follows from how long answers have taken.
+    """A timeout derived from the duration of earlier answers.
 
-    What goes wrong with one that is the same for every answer: a large
-    configuration takes longer than that over a link that others share, the
-    answer is dropped when most of it has come, and is asked for anew at the
-    next heartbeat. It is seen as ``changes not read`` again and again, with a
-    link that stays full, and a process that never learns of the end of a
-    version.
+    With a fixed timeout, a large configuration on a shared link can take
+    longer than the timeout. The answer is then dropped after most of it has
+    arrived and is requested again at the next heartbeat. The link stays full,
+    ``changes not read`` is logged repeatedly, and the process never learns of
+    the end of a version.
 
     Times are seconds.
     """
 
-    seconds: float = SHORTEST_S
+    seconds: float = MIN_TIMEOUT_S
 
     def on_answer(self, took_s: float) -> None:
-        """Take how long an answer took."""
-        self.seconds = min(max(SPARE * took_s, SHORTEST_S), LONGEST_S)
+        """Record the duration of an answer."""
+        self.seconds = min(
+            max(TIMEOUT_FACTOR * took_s, MIN_TIMEOUT_S), MAX_TIMEOUT_S
+        )
 
     def on_lost(self, took_s: float) -> None:
-        """Take note that no answer came, after so long.
+        """Record a request that failed after a time.
 
-        Who is gone fails at once, and tells nothing of the link.
+        A failure before the timeout, such as a refused connection, says
+        nothing about the link and is ignored.
         """
         if took_s >= self.seconds:
-            self.seconds = min(SPARE * self.seconds, LONGEST_S)
+            self.seconds = min(TIMEOUT_FACTOR * self.seconds, MAX_TIMEOUT_S)
--- a/packages/core/src/crowrudder_core/catalog/_catalog.py
+++ b/packages/core/src/crowrudder_core/catalog/_catalog.py
@@ -1,4 +1,4 @@
-"""The aggregate that keeps published records and never goes back."""
+"""The aggregate that stores published records by increasing revision."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MOST_REMOVALS = 4096
-"""Removals remembered, so that a peer can be sent just what changed."""
+MAX_REMOVALS = 4096
+"""Removals kept, so that a peer can be sent only the changes."""
 
 
 @define
 class Catalog:
-    """Records by key, each at the highest revision that was seen.
+    """Records by key, each at the highest revision received.
 
     Records come from the platform, which may be read late, and from other
-    processes, which may be behind. What goes wrong without an order by
-    revision: a process that was informed directly takes a peer's older copy,
-    and a withdrawn key or an upstream that has gone is used again. Invariant:
-    the revision of a key never falls.
+    processes, which may be behind. Without an order by revision, an older copy
+    from a peer would replace a newer record, and a withdrawn key or a removed
+    upstream would be used again. Invariant: the revision of a key never
+    decreases.
 
     Parameters
     ----------
     revision
-        Everything published up to this revision is in the catalog.
+        The catalog is complete up to this revision.
     floor
         Removals up to this revision may have been forgotten.
     """
@@ -39,7 +39,7 @@
     _seen_at: dict[str, float] = field(factory=dict)
 
     def items(self) -> list[PublishedItem]:
-        """Give the records that stand, in no order."""
+        """Return the current records without removals, in no order."""
         return [
             item for item in self._items.values() if item.payload is not None
         ]
@@ -51,15 +51,15 @@
         through: int,
         now: float,
     ) -> list[PublishedItem]:
-        """Take changes; give those that were new.
+        """Apply changes and return those that had an effect.
 
-        The caller asked for everything after a revision that this catalog had
-        reached, so that it is complete up to ``through`` afterwards.
+        The caller requested all changes after a revision that this catalog had
+        reached, so the catalog is complete up to ``through`` afterwards.
         """
-        fresh = [item for item in items if self._take(item, now)]
+        applied = [item for item in items if self._apply_item(item, now)]
         self.revision = max(self.revision, through)
-        self._forget_removals()
-        return fresh
+        self._prune_removals()
+        return applied
 
     def replace(
         self,
@@ -68,9 +68,9 @@
         through: int,
         now: float,
     ) -> list[PublishedItem]:
-        """Take a whole list as it was at ``through``; give what changed.
+        """Apply a complete list as of ``through`` and return the changes.
 
-        A record that isn't listed is gone, unless it was published later than
+        A record that isn't listed is removed, unless it was published after
         the list.
         """
         listed = list(items)
@@ -89,7 +89,7 @@
         now: float,
         confirmed_s: float,
     ) -> Changes:
-        """Give what a peer at a revision lacks."""
+        """Return the changes that a peer at a revision is missing."""
         is_whole = revision < self.floor or not revision
         chosen = (
             self.items()
@@ -108,7 +108,7 @@
         )
 
     def ages(self, *, now: float) -> tuple[RecordAge, ...]:
-        """Give the ages that are known of the records that stand."""
+        """Return the known ages of the current records."""
         return tuple(
             RecordAge(item.key, item.revision, age_s)
             for item in self.items()
@@ -118,20 +118,19 @@
     def take_ages(
         self, ages: Iterable[RecordAge], *, now: float
     ) -> list[PublishedItem]:
-        """Take ages of records known without them; give these records.
+        """Apply ages to records without one and return these records.
 
-        Only ages are taken: neither a record nor its removal, nor how far
-        the other has read.
+        Records, removals and the catalog's revision aren't changed.
         """
         aged = []
-        for told in ages:
-            known = self._items.get(told.key)
-            if known is not None and self._take_age(told, known, now):
+        for reported in ages:
+            known = self._items.get(reported.key)
+            if known is not None and self._apply_age(reported, known, now):
                 aged.append(self._aged(known, now))
         return aged
 
     def age_s(self, key: str, *, now: float) -> float | None:
-        """Give how long ago a record was published; None if unknown."""
+        """Return the time since a record was published; None if unknown."""
         seen_at = self._seen_at.get(key)
         return None if seen_at is None else max(now - seen_at, 0)
 
@@ -139,36 +138,36 @@
         age_s = self.age_s(item.key, now=now)
         return evolve(item, age_s=-1 if age_s is None else age_s)
 
-    def _take(self, item: PublishedItem, now: float) -> bool:
+    def _apply_item(self, item: PublishedItem, now: float) -> bool:
         known = self._items.get(item.key)
         if known is not None and item.revision <= known.revision:
-            return self._take_age(item, known, now)
+            return self._apply_age(item, known, now)
         self._items[item.key] = item
         self._seen_at.pop(item.key, None)
         if item.age_s >= 0:
             self._seen_at[item.key] = now - item.age_s
         return True
 
-    def _take_age(
+    def _apply_age(
         self,
         item: PublishedItem | RecordAge,
         known: PublishedItem,
         now: float,
     ) -> bool:
-        """Take the age of a record that was known without it."""
+        """Apply the age of a record whose age was unknown."""
         is_same = item.revision == known.revision
         if not is_same or item.age_s < 0 or item.key in self._seen_at:
             return False
         self._seen_at[item.key] = now - item.age_s
         return True
 
-    def _forget_removals(self) -> None:
+    def _prune_removals(self) -> None:
         removed = [
             item for item in self._items.values() if item.payload is None
         ]
-        if len(removed) <= MOST_REMOVALS:
+        if len(removed) <= MAX_REMOVALS:
             return
         removed.sort(key=lambda item: item.revision)
-        for item in removed[: len(removed) - MOST_REMOVALS // 2]:
+        for item in removed[: len(removed) - MAX_REMOVALS // 2]:
             self.floor = max(self.floor, item.revision)
             del self._items[item.key]
--- a/packages/core/src/crowrudder_core/catalog/_packing.py
+++ b/packages/core/src/crowrudder_core/catalog/_packing.py
@@ -1,10 +1,10 @@
-"""Published records made small for the links between processes.
+"""Compression of published records for transfer between processes.
 
-What goes wrong with a record sent as it was published: the configuration is
-one record, and with 1,400 routes it is 268 KB that repeat themselves. Each
-change of it takes 0.46 s of a link of 4.7 Mbit/s, seen as streams that pause
-and requests that come late. Deflated it is 9 KB. The process that read it from
-the platform deflates it once; the others carry it on as it came.
+The configuration is one record. With 1,400 routes it has 268 KB of repetitive
+text, and sending each change uncompressed occupies a link of 4.7 Mbit/s for
+0.46 s, which stalls streams and delays requests. Deflated, it has 9 KB. The
+process that read it from the platform deflates it once; the others forward it
+as received.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
     from crowrudder_model.messages import PublishedItem
 
 SMALLEST_DEFLATED_BYTES = 1024
-"""A record below this fills one packet at most (1,460 bytes) with what goes
-around it, so that the work would make nothing come sooner."""
+"""A smaller record fits into one packet (1,460 bytes) together with its
+framing, so that deflating it wouldn't speed up the transfer."""
 
 MOST_RECORD_BYTES = 1 << 20
-"""The platform takes no larger value. Without a bound some KB from a peer
-could be inflated into more memory than the process may have."""
+"""The platform accepts no larger value. Without a bound, a few KB from a peer
+could inflate to more memory than the process may use."""
 
 
 def deflated(item: PublishedItem) -> PublishedItem:
-    """Give a record as it goes to other processes.
+    """Return a record in the form that is sent to other processes.
 
-    One that no other process would inflate, or that gets no smaller, stays as
-    it is.
+    A record that is too large to be inflated, or that doesn't get smaller, is
+    returned unchanged.
     """
     payload = item.payload
     if payload is None or item.is_deflated:
@@ -46,12 +46,13 @@
 
 
 def inflated(item: PublishedItem) -> PublishedItem:
-    """Give a record as it was published.
+    """Return a record in its published form.
 
     Raises
     ------
     MalformedMessageError
-        When the payload isn't a whole deflated value of the platform's size.
+        When the payload isn't one complete deflated value within the
+        platform's size limit.
     """
     if item.payload is None or not item.is_deflated:
         return item
--- a/packages/core/src/crowrudder_core/catalog/_punctuality.py
+++ b/packages/core/src/crowrudder_core/catalog/_punctuality.py
@@ -1,4 +1,4 @@
-"""Whether a process gets to its work in time."""
+"""Detection of delayed event-loop ticks."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 from attrs import define
 
 LATE_S = 0.15
-"""A tick that comes so much too late tells of a process that stood still."""
+"""A tick delayed by more than this shows that the process was suspended or
+starved."""
 
 
 @define
 class Punctuality:
-    """Follows regular ticks of an event loop.
+    """Tracks the regular ticks of an event loop.
 
-    A process that was frozen or suspended, or that is short of processor time,
-    reads answers long after they came, and can't see that from the answers.
+    A process that was paused or suspended, or that lacks processor time, reads
+    answers long after they arrived, and the answers don't show the delay.
 
-    Times are seconds of a clock that counts suspensions.
+    Times are seconds of a clock that includes suspensions.
 
     Parameters
     ----------
@@ -30,15 +31,15 @@
     _late_at: float = -math.inf
 
     def on_tick(self, now: float) -> None:
-        """Take a tick."""
+        """Record a tick."""
         if self._is_overdue(now):
             self._late_at = now
         self._ticked_at = now
 
     def is_given(self, now: float) -> bool:
-        """Whether nothing that is read now can have waited for long.
+        """Return whether data read now can't have waited for long.
 
-        A late tick may come before what has waited with it is read.
+        A late tick may run before data that arrived during the delay is read.
         """
         return not self._is_overdue(now) and now - self._late_at > self.every_s
 
--- a/packages/core/src/crowrudder_core/catalog/_reading.py
+++ b/packages/core/src/crowrudder_core/catalog/_reading.py
@@ -1,4 +1,4 @@
-"""The aggregate that decides who watches the platform, and how."""
+"""The aggregate that decides when a process lists or watches the platform."""
 
 from __future__ import annotations
 
@@ -17,70 +17,73 @@
 WATCHERS = 4
 """Entries that hold a watch at the platform.
 
-Each call of a watch is paid for, and every change ends all of them. Fewer
-would leave a fleet without news for the time that the others need to notice
-that all watchers were turned away at once.
+Each watch call adds load, and every change ends all watches. With fewer
+watchers, a fleet whose watchers are all refused at once would receive no
+updates until the other entries detect that.
 """
 
-GATHER_S = (0.15, 0.3, 0.6, 1.0)
+BATCH_PAUSES_S = (0.15, 0.3, 0.6, 1.0)
 """Pause by rank between an answer with changes and the next watch.
 
-Changes come in bursts, and those within the pause come with one answer. The
-first watcher brings most of them, the others are there for when it is dead,
-frozen or turned away: a change is then later by half of the two seconds in
-which it has to be in force at the most.
+Changes come in bursts, and one answer returns all changes within the pause.
+The first watcher fetches most of them; the others take over when it is dead,
+paused or refused. The delay is then at most half of the two seconds within
+which a change has to be in force.
 """
 
-STEPPING_IN = 4
-"""Entries that try in each turn while nobody hears the platform, in the mean.
+MEAN_FALLBACK_READERS = 4
+"""Mean number of entries that try in each round while no process reaches the
+platform.
 
-What goes wrong when all of them try: calls grow with the fleet, in an outage
-from which one that hears the platform again could tell all others.
+If all entries tried, the calls during an outage would grow with the fleet,
+although one entry that reaches the platform can inform all others.
 """
 
-TURN_S = 0.8
-"""For so long the same entries try, then others: those that try may just be
-the hosts that the platform turns away."""
+FALLBACK_ROUND_S = 0.8
+"""Time until another sample of entries tries: the platform may refuse exactly
+the hosts of the current sample."""
 
-SILENT_S = 0.8
-"""Without a word from the platform for so long, other entries try as well.
+SILENCE_TIMEOUT_S = 0.8
+"""Time after an overdue answer of the platform until other entries try too.
 
-It is under half of the shortest time (2 s) in which operators want a change
-in force, so that a second reader is in time.
+It is less than half of the shortest time (2 s) within which operators want a
+change in force, so that a second reader is still in time.
 """
 
 WATCH_WAIT_S = 2.0
-"""How long a watch waits for news; an answer also shows that it lives."""
+"""How long a watch waits for changes. An empty answer confirms that the
+platform works."""
 
-PROOF_S = 2.9
-"""Longest time between two signs of a platform that works: a watch's wait,
-and what its answer may take."""
+MAX_CONFIRMATION_GAP_S = 2.9
+"""Longest time between two confirmations from a working platform: the wait of
+a watch plus the time for its answer."""
 
 RETURN_S = 3.0
-"""For so long after the platform was away, what it shows may follow from that:
-records that lapsed and come back, and changes of unknown age."""
+"""Time after an outage of the platform in which its records may still show
+effects of the outage: lapsed records that return, and changes of unknown
+age."""
 
-UNINFORMED_S = 0.1
-"""For so long after its start a process that doesn't watch waits for records
-from others; they take some 0.05 s where others run."""
+START_LIST_DELAY_S = 0.1
+"""Time after its start that a process that doesn't watch waits for records
+from others; they take about 0.05 s if other processes run."""
 
-SPREAD_S = 0.1
-"""Over so long such processes list that start together and hear nothing: the
-first of them inform the others."""
+START_LIST_JITTER_S = 0.1
+"""Interval over which such processes spread their first list if they start
+together and receive nothing; the first ones inform the others."""
 
-JOINS_S = 0.2
-"""After so long a new process that has met others knows most of them, and
-whether it is a watcher."""
+WATCH_START_DELAY_S = 0.2
+"""Time after which a new process that has contact with others knows most of
+them, and whether it is a watcher."""
 
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.8
+MIN_RETRY_PAUSE_S = 0.05
+MAX_RETRY_PAUSE_S = 0.8
 
 
-_SCORES = 2.0**64
+_SCORE_RANGE = 2.0**64
 
 
 class StoreStep(enum.Enum):
-    """What a process does next at the platform."""
+    """The next action of a process towards the platform."""
 
     LIST = 'list'
     WATCH = 'watch'
@@ -89,20 +92,21 @@
 
 @define
 class StoreReading:
-    """Keep the platform read by a few, and by everyone when they fail.
+    """Let a few processes read the platform, and others when these fail.
 
-    What goes wrong otherwise: the platform turns a few hosts away and serves
-    the rest; were these few the only readers, a change would be in force
-    nowhere, while every process looks healthy. Each heartbeat therefore says
-    how long ago its sender last knew the platform to be heard by anyone.
+    The platform may refuse a few hosts and serve the rest. If the refused
+    hosts were the only readers, a change would come into force nowhere, while
+    every process looks healthy. Each heartbeat therefore carries the time
+    since any process, to its sender's knowledge, last had an answer from the
+    platform.
 
     Times are seconds of one clock.
 
     Parameters
     ----------
     is_reader
-        Whether it may be a watcher; others read only where they know nobody
-        who may.
+        Whether this process may be a watcher; a process that may not reads
+        only if it knows no process that may.
     """
 
     own: str
@@ -118,32 +122,32 @@
     started_at: float = -math.inf
 
     def on_start(self, now: float, *, lists_at_once: bool = False) -> None:
-        """Leave the platform to others, unless nobody tells anything.
+        """Start without reading the platform, and schedule a list as fallback.
 
-        What goes wrong when an agent waits for entries alone: all lose power,
-        and the agents learn which version to load as late as the last of the
-        first entries that all ask has started, seen as engines that stand
-        still with whole weights beside them. After a power cut of one second
-        agents knew of it 0.6 s later than they could read it themselves.
+        If an agent waited for entries alone, then after a power cut of the
+        whole fleet it would learn which version to load only when the entries
+        that all agents ask first have started; engines would stay idle though
+        their weights are complete. After a power cut of one second, agents
+        knew the version 0.6 s later than by reading it themselves.
         """
         self.rank = WATCHERS
         self.started_at = now
         self.lists_at = now
         if not lists_at_once:
-            part = score('start', self.own) / _SCORES
-            self.lists_at += UNINFORMED_S + SPREAD_S * part
-        self.joins_at = now + JOINS_S
+            jitter = score('start', self.own) / _SCORE_RANGE
+            self.lists_at += START_LIST_DELAY_S + START_LIST_JITTER_S * jitter
+        self.joins_at = now + WATCH_START_DELAY_S
 
     def on_informed(self) -> None:
-        """Take note that records came, from whomever.
+        """Record that records arrived from any source.
 
-        They are complete up to their revision, so a watch can go on from it.
+        They are complete up to their revision, so a watch can start there.
         """
         self.lists_at = math.inf
         self.needs_list = False
 
     def on_entries(self, names: Iterable[str]) -> None:
-        """Find the own rank among the live entries."""
+        """Compute the rank of this process among the live entries."""
         others = set(names) - {self.own}
         self.others = len(others)
         if self.is_reader:
@@ -151,103 +155,117 @@
             self.rank = order.index(self.own)
 
     def on_answer(self, now: float) -> None:
-        """Take note that the platform answered this process."""
+        """Record that the platform answered this process."""
         self.failures = 0
         self._confirm(now, now)
 
     def on_peer(self, confirmed_s: float, now: float) -> None:
-        """Take note of a peer's word on when the platform was last heard."""
+        """Record a peer's report of the last answer from the platform."""
         self._confirm(now - max(confirmed_s, 0), now)
 
     def on_failed(self) -> None:
-        """Take note that the platform gave no proper answer."""
+        """Record that the platform gave no valid answer."""
         self.failures += 1
 
     def on_forgotten(self) -> None:
-        """Take note that the platform no longer has the changes asked for."""
+        """Record that the platform no longer has the requested changes."""
         self.needs_list = True
 
     def on_listed(self) -> None:
-        """Take note that everything was listed."""
+        """Record a complete list."""
         self.needs_list = False
 
     def unknown_age_s(self, now: float, *, is_informed: bool) -> float | None:
-        """Give how old a change counts that came without its age.
+        """Return the assumed age of a change that arrived without one.
 
-        A list shows no times. What goes wrong when each change in it counts
-        as an old one: a version is named while the platform is away, and on
-        its return no engine may be used before it has loaded that version,
-        seen as six seconds without a single answer. Nobody could know of the
-        change meanwhile, so its time begins with the return; and without an
-        absence a change is no older than the last sign of the platform.
+        A list has no times. If each change in it counted as old, a version
+        that is named during an outage of the platform would, when the platform
+        is back, exclude every engine that hasn't loaded it yet: no request was
+        answered for six seconds. No process could know the change during the
+        outage, so its age counts from the end of the outage. Without an
+        outage, a change is no older than the last confirmation.
 
         Parameters
         ----------
         is_informed
             Whether this process knew the records before. A new process can't
-            tell what changed while it wasn't there: None.
+            tell what changed before its start; the result is None.
         """
         if not is_informed:
             return None
-        return 0 if now - self.returned_at < RETURN_S else PROOF_S
+        return (
+            0 if now - self.returned_at < RETURN_S else MAX_CONFIRMATION_GAP_S
+        )
 
     def _confirm(self, at: float, now: float) -> None:
-        if at - self.confirmed_at > PROOF_S:
+        if at - self.confirmed_at > MAX_CONFIRMATION_GAP_S:
             self.returned_at = now
         self.confirmed_at = max(self.confirmed_at, at)
 
     def confirmed_s(self, now: float) -> float:
-        """Give how long ago anyone heard the platform; large for never."""
+        """Return the time since the platform last answered any process.
+
+        A large value means never.
+        """
         return min(now - self.confirmed_at, 1.0e9)
 
     def is_current(self, now: float, within_s: float) -> bool:
-        """Whether what is known can't be older than the bound allows.
+        """Return whether the known records are recent enough.
 
-        A process that was cut off for longer must not turn callers away by
-        keys and routes that may have been added since.
+        A process that was disconnected for longer must not reject requests
+        because of missing keys or routes that may have been added since.
         """
         return self.confirmed_s(now) <= within_s + WATCH_WAIT_S
 
     def step(self, now: float) -> StoreStep:
-        """Tell what to do now."""
-        if now >= self.lists_at and (not self.failures or self._is_drawn(now)):
+        """Return the action to take now."""
+        if now >= self.lists_at and (
+            not self.failures or self._is_selected(now)
+        ):
             return StoreStep.LIST
         if self.others and now < self.joins_at:
             return StoreStep.REST
-        if self.rank < WATCHERS or self._steps_in(now):
+        if self.rank < WATCHERS or self._takes_over(now):
             return StoreStep.LIST if self.needs_list else StoreStep.WATCH
         return StoreStep.REST
 
     @property
     def gather_s(self) -> float:
-        """The pause between an answer with changes and the next watch."""
-        return GATHER_S[min(self.rank, WATCHERS - 1)]
+        """Return the pause between an answer with changes and the next watch."""
+        return BATCH_PAUSES_S[min(self.rank, WATCHERS - 1)]
 
-    def _steps_in(self, now: float) -> bool:
-        """Whether to try in place of watchers that don't hear the platform."""
-        # A start is no sign of the platform: it isn't told to others as one.
+    def _takes_over(self, now: float) -> bool:
+        """Return whether to read in place of watchers that get no answer."""
+        # A start delays taking over, but it is no confirmation from the
+        # platform and isn't reported to others as one.
         silent_s = now - max(self.confirmed_at, self.started_at)
-        if silent_s < WATCH_WAIT_S + SILENT_S:
+        if silent_s < WATCH_WAIT_S + SILENCE_TIMEOUT_S:
             return False
         if not self.is_reader:
             return not self.others
-        return self._is_drawn(now)
+        return self._is_selected(now)
 
-    def _is_drawn(self, now: float) -> bool:
-        """Whether this process is one of the few that try now.
+    def _is_selected(self, now: float) -> bool:
+        """Return whether this process is one of the few that try now.
 
-        Each draws for itself, so that a bounded number of them do in the mean
-        whatever they know of each other.
+        Each process computes its own sample, so that the mean number of tries
+        is bounded whatever the processes know of each other.
         """
-        drawn = score(f'watch|{int(now / TURN_S)}', self.own) / _SCORES
-        return drawn * (self.others + 1) < STEPPING_IN
+        sample = (
+            score(f'watch|{int(now / FALLBACK_ROUND_S)}', self.own)
+            / _SCORE_RANGE
+        )
+        return sample * (self.others + 1) < MEAN_FALLBACK_READERS
 
     def pause_s(self, random: Random) -> float:
-        """Give the time before the next try after a failure.
+        """Return the time until the next try after a failure.
 
-        Who isn't a watcher tries in place of others that have failed already.
+        A process that isn't a watcher always waits long: it tries only after
+        the watchers have failed.
         """
-        longest = LONGEST_PAUSE_S
+        longest = MAX_RETRY_PAUSE_S
         if self.rank < WATCHERS:
-            longest = min(FIRST_PAUSE_S * 2 ** min(self.failures, 6), longest)
+            longest = min(
+                MIN_RETRY_PAUSE_S * 2 ** min(self.failures, 6), longest
+            )
         return longest * random.uniform(0.6, 1)
--- a/packages/core/src/crowrudder_core/catalog/_releases.py
+++ b/packages/core/src/crowrudder_core/catalog/_releases.py
@@ -1,4 +1,4 @@
-"""Which versions of a model's weights a request may begin on."""
+"""Which versions of a model's weights may serve a new request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen
 class Release:
-    """A named version and when it was published, on the own clock."""
+    """A named version and its publication time on the local clock."""
 
     version: int
     published_at: float
@@ -17,20 +17,19 @@
 
 @define
 class Releases:
-    """The versions of each model that were named, newest last.
+    """The named versions of each model, newest last.
 
-    What goes wrong without the bound: a host that is late with its transfer
-    goes on answering with weights that were replaced, seen as requests on an
-    old version long after the new one is everywhere else. Such a host gets no
-    request rather than one on old weights.
+    Without a time limit, a host whose transfer is late would go on answering
+    with replaced weights long after all other hosts have the new version.
+    Such a host gets no request instead of one on old weights.
 
     Parameters
     ----------
     window_s
-        Time from the publication of a version until nothing may begin on an
-        older one.
+        Time from the publication of a version until no request may begin on
+        an older one.
     free_until
-        Time on the own clock from which on this process is held to the window.
+        Time on the local clock from which this process enforces the window.
     """
 
     window_s: float
@@ -45,14 +44,15 @@
         age_s: float | None,
         now: float,
     ) -> None:
-        """Take a named version; an unknown age counts as a long one.
-
-        A process that starts finds versions without their ages. What goes
-        wrong when it counts them as old at once: all processes are killed
-        while a version is spread, nobody is left who knows its age, and no
-        engine may be used before it has loaded that version, seen as five
-        seconds of refusals. Old ones may be used until the process is held to
-        the window; a peer that knows the age tells it long before.
+        """Add a named version; an unknown age counts as a long one.
+
+        A process that starts finds versions without their ages. If it counted
+        them as old at once, then after a kill of all processes during a
+        rollout no process would know the version's age, and no engine could
+        be used before it has loaded that version: requests were refused for
+        five seconds. Older versions may therefore be used until the process
+        enforces the window; a peer that knows the age usually sends it long
+        before.
         """
         known = self._named.setdefault(model, [])
         if known and version < known[-1].version:
@@ -61,17 +61,17 @@
             age_s = self.window_s - max(self.free_until - now, 0)
         release = Release(version, now - age_s)
         if known and version == known[-1].version:
-            # Told again: by a process that knows its age.
+            # Received again, from a process that knows its age.
             known.pop()
         known.append(release)
 
     def newest(self, model: str) -> Release | None:
-        """Give the version that a model is to have."""
+        """Return the newest version of a model."""
         known = self._named.get(model)
         return known[-1] if known else None
 
     def before(self, model: str, version: int) -> Release | None:
-        """Give the version that was named before another one."""
+        """Return the newest version lower than another one."""
         older = [
             release
             for release in self._named.get(model, ())
@@ -80,7 +80,7 @@
         return older[-1] if older else None
 
     def after(self, model: str, version: int) -> list[Release]:
-        """Give the versions that were named after another one, newest first."""
+        """Return the versions higher than another one, newest first."""
         return [
             release
             for release in reversed(self._named.get(model, []))
@@ -88,7 +88,10 @@
         ]
 
     def ends_at(self, model: str, version: int) -> float:
-        """Give from when nothing may begin on a version; infinity for never."""
+        """Return the time from which no request may begin on a version.
+
+        Infinity means that the version has no end.
+        """
         return min(
             (
                 release.published_at + self.window_s
--- a/packages/core/src/crowrudder_core/catalog/_routes.py
+++ b/packages/core/src/crowrudder_core/catalog/_routes.py
@@ -35,7 +35,7 @@
         """Find the route with the longest prefix that begins the path.
 
         Every prefix ends with a slash, so that only the path's own slashes
-        have to be tried: the cost doesn't grow with the number of routes.
+        have to be tried, and the cost is independent of the number of routes.
         """
         prefixes = self._by_host.get(host.lower())
         if prefixes is None:
--- a/packages/core/src/crowrudder_core/catalog/_view.py
+++ b/packages/core/src/crowrudder_core/catalog/_view.py
@@ -1,4 +1,4 @@
-"""The fleet as the published records show it."""
+"""The state of the fleet according to the published records."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
     from crowrudder_model.fleet import Published
 
 LAPSE_GRACE_S = 1.5
-"""How long an upstream may still be used whose record vanished.
+"""How long an upstream may still be used after its record has lapsed.
 
-Records lapse while the platform is away, and those of upstreams that live
-are back within two seconds of its return. It is used in such a case alone,
-and below the two seconds within which nothing may reach one that has gone.
+Records lapse during an outage of the platform, and live upstreams write theirs
+again within two seconds of its end. The grace period applies only in this
+case. It is shorter than the two seconds after which no request may reach an
+upstream that has ended.
 """
 
 
 @define
 class ListedUpstream:
-    """An upstream by its record; ``usable_until`` is set once it has gone."""
+    """An upstream's record; ``usable_until`` is set when it is removed."""
 
     upstream: Upstream
     usable_until: float | None = None
 
     def takes_requests(self, now: float) -> bool:
-        """Whether requests may be sent there, by its record alone."""
+        """Return whether its record allows requests."""
         if self.usable_until is not None and now >= self.usable_until:
             return False
         return self.upstream.state is UpstreamState.READY
@@ -61,7 +62,7 @@
     _ids: dict[str, str] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Begin without any version."""
+        """Create the empty list of releases."""
         self.releases = Releases(self.version_window_s, self.free_until)
 
     def on_record(
@@ -72,7 +73,7 @@
         age_s: float | None,
         now: float,
     ) -> None:
-        """Take a record under its key."""
+        """Apply the record of a key."""
         match record:
             case FleetConfig():
                 self._on_config(record)
@@ -83,9 +84,10 @@
                 self.releases.on_named(model, version, age_s=age_s, now=now)
 
     def on_removed(self, key: str, *, now: float, may_return: bool) -> None:
-        """Take note that a record was taken away.
+        """Apply the removal of a record.
 
-        ``may_return`` is set when the platform was away shortly before.
+        ``may_return`` is set shortly after an outage of the platform, when a
+        lapsed record may be written again.
         """
         listed = self._listed.get(self._ids.pop(key, ''))
         if listed is None:
@@ -94,17 +96,18 @@
         listed.usable_until = now + grace_s
 
     def on_unreadable(self, key: str, *, now: float) -> None:
-        """Take note that a record can't be read.
+        """Apply a record that can't be decoded.
 
-        What goes wrong when the record before it stays in force: another
-        writer has overwritten an upstream's record, the upstream leaves, and
-        requests go on to an address that somebody else may have by now.
-        Configuration and versions stay, since without them nobody is served.
+        It counts as the removal of an upstream. If the previous record stayed
+        in force after another writer has overwritten it and the upstream has
+        left, requests would go to an address that another service may have by
+        then. Configuration and versions stay in force, since no request can be
+        served without them.
         """
         self.on_removed(key, now=now, may_return=False)
 
     def forget_gone(self, *, now: float) -> list[Upstream]:
-        """Drop upstreams whose time has passed, and give them."""
+        """Drop upstreams whose grace period has ended and return them."""
         gone = [
             listed.upstream
             for listed in self._listed.values()
@@ -123,21 +126,21 @@
         ]
 
     def takes_requests(self, upstream_id: str, *, now: float) -> bool:
-        """Whether requests may be sent to an upstream, by its record alone."""
+        """Return whether an upstream's record allows requests."""
         listed = self._listed.get(upstream_id)
         return listed is not None and listed.takes_requests(now)
 
     def upstream(self, upstream_id: str) -> Upstream | None:
-        """Find an upstream that was listed and isn't forgotten."""
+        """Find a listed upstream by its id."""
         listed = self._listed.get(upstream_id)
         return listed.upstream if listed else None
 
     def listed(self) -> list[Upstream]:
-        """List all upstreams that aren't forgotten, leaving ones as well."""
+        """List all upstreams, including those that are leaving."""
         return [listed.upstream for listed in self._listed.values()]
 
     def engine_hosts(self, model: str) -> dict[str, Upstream]:
-        """Give the upstreams that serve a model, by their hosts' IP numbers."""
+        """Return the upstreams that serve a model, by the host's IP address."""
         service = self.config.engine_service(model) if self.config else None
         if service is None:
             return {}
--- a/packages/core/src/crowrudder_core/catalog/_watch_ages.py
+++ b/packages/core/src/crowrudder_core/catalog/_watch_ages.py
@@ -1,46 +1,46 @@
-"""How old the changes may be that an answer of the platform's watch brings."""
+"""Maximum age of the changes in an answer of a platform watch."""
 
 from __future__ import annotations
 
 from attrs import define
 
 QUICK_S = 0.25
-"""An answer that took no longer may bring what had been published before the
-watch was asked for: the platform answers within some milliseconds, and under
-stress in sixty times as long."""
+"""An answer within this time may contain changes published before the watch
+was requested: the platform answers such a watch within some milliseconds, and
+under stress takes sixty times as long."""
 
 
 @define
 class WatchAges:
-    """Keeps until when nothing was published that isn't known here.
+    """Tracks the time up to which all published changes are known.
 
-    An answer shows no times. What goes wrong when each change in it counts as
-    published at that moment: a watch has hung on a connection that carries
-    nothing any more, its successor brings a version that was named three
-    seconds before, and requests begin on the one before it for as long after
-    its end. All other processes take the age from the one that watches.
+    An answer has no times. If each change in it counted as published at that
+    moment, then after a watch has hung on a dead connection, the next watch
+    could return a version that was named three seconds before, and requests
+    would begin on the previous version three seconds after its end. All other
+    processes use the age that the watching process reports.
 
-    A change that came while the watch waited counts as new. Otherwise it
-    counts as old as it can be; that costs an old version at most the time
-    without an answer, and calm days have none.
+    A change that arrives while the watch waits counts as new. Any other change
+    counts as old as it can be. That shortens the use of an old version by at
+    most the time without an answer, which is zero in normal operation.
 
     Times are seconds of one clock.
 
     Parameters
     ----------
-    level_at
-        All that had been published by then is known; None while others watch.
+    known_until
+        All changes published by then are known; None while others watch.
     """
 
-    level_at: float | None = None
+    known_until: float | None = None
 
     def on_rest(self) -> None:
-        """Take note that the watch is left to others."""
-        self.level_at = None
+        """Record that this process doesn't watch."""
+        self.known_until = None
 
     def on_listed(self, asked_at: float) -> None:
-        """Take note of a list, which is as of its first page."""
-        self.level_at = asked_at
+        """Record a list, which is complete up to its first page's request."""
+        self.known_until = asked_at
 
     def on_answer(
         self,
@@ -51,14 +51,14 @@
         has_changes: bool,
         is_punctual: bool,
     ) -> None:
-        """Take note of a watch's answer, after `published_since`.
+        """Record the answer of a watch, after a call of `published_since`.
 
-        An empty one was given after the wait, however late it is read.
+        An empty answer was sent after the wait, however late it is read.
         """
         if has_changes and not is_punctual:
-            self.level_at = asked_at
+            self.known_until = asked_at
         else:
-            self.level_at = min(now, asked_at + wait_s)
+            self.known_until = min(now, asked_at + wait_s)
 
     def published_since(
         self,
@@ -69,24 +69,27 @@
         returned_at: float,
         is_punctual: bool,
     ) -> float:
-        """Give when the changes of an answer were published at the earliest.
+        """Return the earliest publication time of an answer's changes.
 
         Parameters
         ----------
         asked_at, now
-            When the watch was asked for, and when its answer is read.
+            When the watch was requested, and when its answer is read.
         confirmed_at
-            When any process had heard the platform before this answer.
+            When the platform last answered any process before this answer.
         returned_at
-            When the platform was last back from an absence. What was published
-            meanwhile nobody could know; its time begins with the return.
+            When the platform's last outage ended. No process could know changes
+            published during it; their ages count from its end.
         is_punctual
             Whether this process read its sockets in time, see `Punctuality`.
-            If not, the absence may have been its own.
+            If not, this process may have been suspended, and the platform
+            reachable all the time.
         """
-        level_at = confirmed_at if self.level_at is None else self.level_at
+        known_until = (
+            confirmed_at if self.known_until is None else self.known_until
+        )
         if not is_punctual:
-            return min(level_at, now)
+            return min(known_until, now)
         if now - asked_at > QUICK_S:
             return now
-        return min(max(level_at, returned_at), now)
+        return min(max(known_until, returned_at), now)
--- a/tests/catalog/test_answer_timeout.py
+++ b/tests/catalog/test_answer_timeout.py
@@ -4,12 +4,12 @@
 
 ANSWER_BYTES = 250_000
 LINK_BYTES_PER_S = 16_000_000 / 8
-SHARERS = 20
-"""Processes of one region that ask for the same over one link."""
+REQUESTERS = 20
+"""Processes of one region that request the same records over one link."""
 
 
-def asked(timeout, answer_s):
-    """Ask once; give whether the answer came in time."""
+def request_once(timeout, answer_s):
+    """Send one request; return whether its answer arrived in time."""
     if answer_s > timeout.seconds:
         timeout.on_lost(timeout.seconds)
         return False
@@ -18,33 +18,32 @@
 
 
 class TestAnswerTimeout:
-    """A large configuration never came into force.
+    """A fixed timeout kept a large configuration from coming into force.
 
-    Symptom: `changes not read` again and again, on a link that is full.
-    Sequence: twenty processes ask for a quarter of a megabyte over one link,
-    which takes 2.5 s for all; each gives its answer up after one second and
-    asks anew. Cause: one time-out for every answer.
+    Twenty processes request a quarter of a megabyte over one link, which takes
+    2.5 s for all. With a timeout of one second each drops its answer and
+    requests it again; `changes not read` is logged and the link stays full.
     """
 
-    def test_an_answer_that_takes_longer_comes_in_the_end(self):
+    def test_timeout_grows_until_a_slow_answer_arrives(self):
         timeout = AnswerTimeout()
-        answer_s = SHARERS * ANSWER_BYTES / LINK_BYTES_PER_S
+        answer_s = REQUESTERS * ANSWER_BYTES / LINK_BYTES_PER_S
         assert answer_s > timeout.seconds
-        tries = [asked(timeout, answer_s) for _ in range(4)]
+        tries = [request_once(timeout, answer_s) for _ in range(4)]
         assert tries == [False, False, True, True]
 
-    def test_who_never_answers_is_waited_for_no_longer_than_the_bound(self):
+    def test_timeout_is_bounded_for_a_peer_that_never_answers(self):
         timeout = AnswerTimeout()
         for _ in range(10):
-            assert not asked(timeout, 1.0e9)
+            assert not request_once(timeout, 1.0e9)
         assert timeout.seconds <= 4
 
-    def test_who_is_gone_tells_nothing_of_the_link(self):
+    def test_an_immediate_failure_keeps_the_timeout(self):
         timeout = AnswerTimeout()
         timeout.on_lost(0.01)
         assert timeout == AnswerTimeout()
 
-    def test_after_short_answers_it_is_short_again(self):
+    def test_a_fast_answer_shortens_the_timeout(self):
         timeout = AnswerTimeout(seconds=4)
-        assert asked(timeout, 0.02)
+        assert request_once(timeout, 0.02)
         assert timeout == AnswerTimeout()
--- a/tests/catalog/test_packing.py
+++ b/tests/catalog/test_packing.py
@@ -26,11 +26,11 @@
 LARGE = b'{"name":"a","prefix":"/a/"}' * 100
 
 
-def item(payload=LARGE, **more):
-    return PublishedItem(key='k', revision=7, payload=payload, **more)
+def item(payload=LARGE, **fields):
+    return PublishedItem(key='k', revision=7, payload=payload, **fields)
 
 
-def packed(body):
+def deflated_item(body):
     return item(body, is_deflated=True)
 
 
@@ -40,14 +40,14 @@
         times=st.integers(0, 300),
         age_s=st.floats(-1, 1e6),
     )
-    def test_a_record_comes_back_as_it_was(self, piece, times, age_s):
+    def test_a_record_survives_a_round_trip(self, piece, times, age_s):
         published = item(piece * times, age_s=age_s)
         sent = decode_message(
             encode_message(deflated(published)), PublishedItem
         )
         assert inflated(sent) == published
 
-    def test_a_large_one_gets_small_and_is_else_the_same(self):
+    def test_only_the_payload_of_a_large_record_changes(self):
         sent = deflated(item(age_s=3))
         assert len(sent.payload or LARGE) < len(LARGE) / 10
         assert sent == item(sent.payload, age_s=3, is_deflated=True)
@@ -63,18 +63,18 @@
         ],
         ids=['removal', 'empty', 'small', 'of bytes', 'too large'],
     )
-    def test_others_are_sent_as_published(self, payload):
+    def test_other_records_are_sent_unchanged(self, payload):
         assert deflated(item(payload)) == item(payload)
         assert inflated(item(payload)) == item(payload)
 
-    def test_nobody_deflates_it_a_second_time(self):
+    def test_a_deflated_record_is_not_deflated_again(self):
         dense = zlib.compress(LARGE * 3000, 1)
-        sent = packed(dense)
+        sent = deflated_item(dense)
         assert len(dense) > SMALLEST_DEFLATED_BYTES
         assert deflated(sent) is sent
 
     @pytest.mark.parametrize('piece', [b'a', LARGE])
-    def test_the_largest_of_the_platform_comes_back(self, piece):
+    def test_the_largest_record_survives_a_round_trip(self, piece):
         times = MOST_RECORD_BYTES // len(piece) + 1
         published = item((piece * times)[:MOST_RECORD_BYTES])
         sent = deflated(published)
@@ -95,14 +95,14 @@
         ],
         ids=['empty', 'plain', 'cut', 'followed', 'spoilt', 'too large'],
     )
-    def test_what_cant_be_inflated_names_its_key(self, body):
+    def test_an_inflate_error_names_the_record(self, body):
         with pytest.raises(MalformedMessageError) as caught:
-            inflated(packed(body))
+            inflated(deflated_item(body))
         assert caught.value.peer == 'k'
 
-    def test_a_small_one_takes_no_more_memory_than_the_largest(self):
-        """A record of 64 KB that is 64 MiB would end a process."""
-        bomb = packed(zlib.compress(bytes(64 * MOST_RECORD_BYTES)))
+    def test_inflating_a_bomb_uses_bounded_memory(self):
+        """A record of 64 KB that inflates to 64 MiB would kill a process."""
+        bomb = deflated_item(zlib.compress(bytes(64 * MOST_RECORD_BYTES)))
         tracemalloc.start()
         try:
             with pytest.raises(MalformedMessageError):
@@ -116,21 +116,21 @@
 class TestOneRecord:
     @pytest.mark.parametrize('first', [item(), deflated(item())])
     @pytest.mark.parametrize('then', [item(), deflated(item())])
-    def test_both_forms_are_the_same_record(self, first, then):
-        """From the platform as published, from a peer deflated."""
+    def test_plain_and_deflated_forms_are_the_same_record(self, first, then):
+        """A record comes plain from the platform and deflated from a peer."""
         catalog = Catalog()
         assert catalog.apply([first], through=7, now=0)
         assert not catalog.replace([then], through=7, now=1)
         assert catalog.items() == [first]
 
     @pytest.mark.parametrize('then', [item(age_s=2), deflated(item(age_s=2))])
-    def test_the_age_is_taken_from_either(self, then):
+    def test_the_age_is_applied_from_either_form(self, then):
         catalog = Catalog()
         catalog.apply([item()], through=7, now=0)
         assert catalog.apply([then], through=7, now=10)
         assert catalog.age_s('k', now=10) == 2
 
-    def test_a_form_passes_on_as_it_came(self):
+    def test_a_deflated_record_is_forwarded_unchanged(self):
         catalog = Catalog()
         sent = deflated(item(age_s=0))
         catalog.apply([sent], through=7, now=10)
--- a/tests/catalog/test_reading.py
+++ b/tests/catalog/test_reading.py
@@ -4,20 +4,20 @@
 
 
 class TestUninformed:
-    def test_an_agent_that_nobody_informs_lists_for_itself(self):
-        """Engines stood still beside whole weights.
+    def test_an_agent_without_updates_lists_records_itself(self):
+        """Engines must not stay idle while their weights are complete.
 
-        Symptom: after a power cut engines are ordered to load 0.6 s later
-        than the platform could have been read. Sequence: all processes start
-        anew, the entries that agents ask first start last. Cause: an agent
-        read the platform only after seconds without any word of it.
+        After a power cut all processes restart, and the entries that agents
+        ask first start last. An agent that reads the platform only after
+        seconds without any update orders its engine to load 0.6 s later than
+        if it had read the platform itself.
         """
         reading = StoreReading(own='a')
         reading.on_start(100)
         assert reading.step(100) is StoreStep.REST
         assert reading.step(100.2) is StoreStep.LIST
 
-    def test_one_that_was_informed_leaves_it_to_others(self):
+    def test_an_informed_process_does_not_list(self):
         reading = StoreReading(own='a')
         reading.on_start(100)
         reading.on_informed()
@@ -25,16 +25,16 @@
 
 
 class TestStartInAnOutage:
-    def test_a_new_process_is_no_proof_that_the_platform_lives(self):
-        """A version ended four seconds too early on every entry.
-
-        Symptom: from 4 s after the platform's return until engines have
-        loaded the newest version nothing may begin anywhere. Sequence: the
-        platform is silent for eight seconds, in which a version is named and
-        entries are restarted in turn; on the return the version counts as
-        named when the last of them started. Cause: a process that starts took
-        that moment for a sign of the platform, so as not to step in at once,
-        and told it to all others in its heartbeats.
+    def test_a_process_start_is_no_confirmation_of_the_platform(self):
+        """A process start must not count as a confirmation of the platform.
+
+        The platform is unavailable for eight seconds, in which a version is
+        named and entries are restarted one by one. If a starting process
+        reported its start as a confirmation, to delay taking over, the version
+        would count as named when the last entry started. The previous version
+        would end four seconds too early on every entry: from 4 s after the
+        outage until engines have loaded the newest version no request could
+        begin.
         """
         reading = StoreReading(own='a')
         reading.on_start(100)
@@ -45,7 +45,7 @@
         other.on_answer(101)
         assert other.unknown_age_s(101, is_informed=True) == 0
 
-    def test_it_steps_in_only_after_the_usual_silence(self):
+    def test_it_takes_over_only_after_the_silence_timeout(self):
         reading = StoreReading(own='a')
         reading.on_start(100)
         reading.on_informed()
@@ -54,15 +54,14 @@
 
 
 class TestUnknownAges:
-    def test_what_was_named_while_the_platform_was_away_is_new(self):
-        """No engine could be used for six seconds.
-
-        Symptom: all requests to a model are refused from the platform's
-        return until engines have loaded a version that was named meanwhile.
-        Sequence: the platform is away for eight seconds, a version is named,
-        agents list everything on its return and tell the entries. Cause: a
-        change that was found in a list counted as an old one, so that nothing
-        might begin on the version before it.
+    def test_a_change_during_an_outage_counts_as_new(self):
+        """A version named during an outage counts as new after it.
+
+        The platform is unavailable for eight seconds, a version is named, and
+        after the outage agents list all records and inform the entries. If a
+        change found in a list counted as old, no request could begin on the
+        previous version, and for six seconds, until engines have loaded the
+        new version, all requests to the model would be refused.
         """
         reading = StoreReading(own='a')
         reading.on_answer(100)
@@ -70,13 +69,13 @@
         reading.on_answer(108)
         assert reading.unknown_age_s(108, is_informed=True) == 0
 
-    def test_a_host_that_heard_of_the_return_from_a_peer_knows_as_well(self):
+    def test_a_peer_report_also_marks_the_end_of_an_outage(self):
         reading = StoreReading(own='a')
         reading.on_peer(0, 100)
         reading.on_peer(0.5, 108)
         assert reading.unknown_age_s(108, is_informed=True) == 0
 
-    def test_without_an_absence_it_is_no_older_than_the_last_sign(self):
+    def test_without_an_outage_the_age_is_that_of_the_last_confirmation(self):
         reading = StoreReading(own='a')
         for now in range(100, 120, 2):
             reading.on_answer(now)
@@ -84,14 +83,14 @@
         assert found is not None
         assert 2 <= found < 8
 
-    def test_the_return_is_over_after_a_while(self):
+    def test_the_recovery_window_ends(self):
         reading = StoreReading(own='a')
         reading.on_answer(100)
         reading.on_answer(108)
         reading.on_answer(110)
         assert reading.unknown_age_s(108 + RETURN_S, is_informed=True)
 
-    def test_a_new_process_can_not_tell(self):
+    def test_a_new_process_reports_an_unknown_age(self):
         reading = StoreReading(own='a')
         reading.on_answer(100)
         assert reading.unknown_age_s(100, is_informed=False) is None
--- a/tests/catalog/test_view.py
+++ b/tests/catalog/test_view.py
@@ -35,22 +35,22 @@
     )
 
 
-def found(thing):
-    """Give what has to be there."""
+def required(thing):
+    """Return a value that must not be None."""
     assert thing is not None
     return thing
 
 
-def upstream(name='i-1', address='10.0.0.1:80', **more):
-    return Upstream(id=name, service='s', address=address, **more)
+def upstream(name='i-1', address='10.0.0.1:80', **fields):
+    return Upstream(id=name, service='s', address=address, **fields)
 
 
 class TestRouteTable:
     def test_the_longest_prefix_wins(self):
         table = RouteTable([route('/'), route('/a/'), route('/a/b/')])
-        assert found(table.find('a.example', '/a/b/c')).prefix == '/a/b/'
-        assert found(table.find('a.example', '/a/bc')).prefix == '/a/'
-        assert found(table.find('a.example', '/x')).prefix == '/'
+        assert required(table.find('a.example', '/a/b/c')).prefix == '/a/b/'
+        assert required(table.find('a.example', '/a/bc')).prefix == '/a/'
+        assert required(table.find('a.example', '/x')).prefix == '/'
 
     def test_other_hosts_and_paths_have_no_route(self):
         table = RouteTable([route('/a/')])
@@ -60,7 +60,7 @@
 
 
 class TestReleases:
-    def test_nothing_begins_on_an_old_version_after_the_window(self):
+    def test_an_old_version_ends_after_the_window(self):
         releases = Releases(8)
         releases.on_named('m', 2, age_s=0, now=100)
         assert releases.ends_at('m', 1) == 108
@@ -70,31 +70,31 @@
         releases = Releases(8)
         releases.on_named('m', 2, age_s=0, now=100)
         releases.on_named('m', 3, age_s=0, now=102)
-        assert found(releases.newest('m')).version == 3
+        assert required(releases.newest('m')).version == 3
         assert releases.ends_at('m', 1) == 108
         assert releases.ends_at('m', 2) == 110
         assert releases.ends_at('m', 3) == math.inf
 
     def test_a_version_of_unknown_age_counts_as_old(self):
-        """A restarted entry sent requests to old weights.
+        """A restarted entry must not send requests to old weights.
 
-        Symptom: requests begin on version 1 long after version 2. Sequence:
-        an entry starts in the middle of a change and finds version 2 named.
-        Cause: it took its own start for the time of the publication.
+        An entry starts during a version change and finds version 2 named. If
+        it used its start as the publication time, requests would begin on
+        version 1 long after version 2 was published.
         """
         releases = Releases(8)
         releases.on_named('m', 2, age_s=None, now=100)
         assert releases.ends_at('m', 1) == 100
 
-    def test_an_older_word_changes_nothing(self):
+    def test_an_older_version_changes_nothing(self):
         releases = Releases(8)
         releases.on_named('m', 3, age_s=0, now=1)
         releases.on_named('m', 2, age_s=0, now=2)
-        assert found(releases.newest('m')).version == 3
+        assert required(releases.newest('m')).version == 3
 
 
 class TestUpstreams:
-    def test_a_leaving_one_gets_nothing(self):
+    def test_a_leaving_upstream_gets_no_requests(self):
         view = FleetView(8)
         view.on_record('k', upstream(), age_s=0, now=0)
         assert view.upstreams('s', now=0)
@@ -103,19 +103,18 @@
         assert not view.upstreams('s', now=1)
         assert view.listed()
 
-    def test_one_that_was_removed_gets_nothing(self):
+    def test_a_removed_upstream_gets_no_requests(self):
         view = FleetView(8)
         view.on_record('k', upstream(), age_s=0, now=0)
         view.on_removed('k', now=1, may_return=False)
         assert not view.upstreams('s', now=1)
 
-    def test_one_that_may_have_lapsed_is_used_for_a_while(self):
-        """All upstreams were dropped as the platform came back.
+    def test_a_lapsed_upstream_is_used_during_the_grace_period(self):
+        """A lapsed record after an outage doesn't mean that its upstream ended.
 
-        Symptom: every request is refused for two seconds. Sequence: the
-        platform is away, records lapse, it returns without them; the living
-        upstreams write theirs anew. Cause: a lapsed record was taken for the
-        end of its upstream.
+        Records lapse during an outage of the platform, and live upstreams
+        write theirs again after it. If all upstreams were dropped meanwhile,
+        every request would be refused for two seconds.
         """
         view = FleetView(8)
         view.on_record('k', upstream(), age_s=0, now=0)
@@ -124,13 +123,13 @@
         assert not view.upstreams('s', now=12)
         assert [each.id for each in view.forget_gone(now=12)] == ['i-1']
 
-    def test_one_whose_record_cant_be_read_gets_nothing(self):
-        """An upstream that had left went on getting requests.
+    def test_an_upstream_with_an_unreadable_record_gets_no_requests(self):
+        """An unreadable record must not keep the previous one in force.
 
-        Symptom: requests to an address that another service may have by then.
-        Sequence: another writer overwrites an upstream's record with bytes
-        that can't be read, and the upstream leaves. Cause: the unreadable
-        record was skipped, so that the one before it stayed in force.
+        Another writer overwrites an upstream's record with bytes that can't be
+        decoded, and the upstream leaves. If the unreadable record were
+        skipped, requests would go to an address that another service may have
+        by then.
         """
         view = FleetView(8)
         view.on_record('k', upstream(), age_s=0, now=0)
@@ -138,13 +137,13 @@
         view.on_unreadable('k', now=1)
         assert [each.id for each in view.upstreams('s', now=1)] == ['i-2']
 
-    def test_a_configuration_that_cant_be_read_changes_nothing(self):
+    def test_an_unreadable_configuration_changes_nothing(self):
         view = FleetView(8)
         view.on_record('c', FleetConfig(version=3), age_s=0, now=0)
         view.on_unreadable('c', now=1)
-        assert found(view.config).version == 3
+        assert required(view.config).version == 3
 
-    def test_one_that_is_back_is_used_again(self):
+    def test_a_returned_upstream_is_used_again(self):
         view = FleetView(8)
         view.on_record('k', upstream(), age_s=0, now=0)
         view.on_removed('k', now=10, may_return=True)
@@ -159,7 +158,7 @@
         low = FleetConfig(version=4, routes=(route('/old/'),))
         view.on_record('c', high, age_s=0, now=0)
         view.on_record('c', low, age_s=0, now=1)
-        assert found(view.config).version == 9
+        assert required(view.config).version == 9
         assert view.routes.find('a.example', '/new/x')
 
 
@@ -169,81 +168,83 @@
         reading.rank = rank
         return reading
 
-    def test_the_first_ones_watch(self):
+    def test_the_first_ranks_watch(self):
         reading = self.reading(WATCHERS - 1)
         assert reading.step(0) is StoreStep.LIST
         reading.on_listed()
         assert reading.step(0) is StoreStep.WATCH
 
-    def test_the_others_rest_while_anybody_hears_the_platform(self):
+    def test_other_ranks_rest_while_the_platform_is_confirmed(self):
         reading = self.reading(WATCHERS)
         reading.on_peer(0.1, now=100)
         assert reading.step(100) is StoreStep.REST
 
-    def test_all_watch_when_nobody_hears_it(self):
-        """A change came into force nowhere.
+    def test_other_ranks_read_when_no_process_reaches_the_platform(self):
+        """Other hosts read when the platform refuses all watchers.
 
-        Symptom: a withdrawn key is accepted for minutes. Sequence: the
-        platform turns away the hosts that watch it and serves the rest. Cause:
-        the rest relied on those that watch.
+        The platform refuses the hosts that watch it and serves the rest. If
+        the rest relied on the watchers, a change would come into force
+        nowhere, and a withdrawn key would be accepted for minutes.
         """
         reading = self.reading(WATCHERS + 3)
         reading.on_peer(0, now=100)
         assert reading.step(104) is not StoreStep.REST
 
-    def test_forgotten_history_asks_for_the_whole_list(self):
+    def test_compacted_history_requires_a_complete_list(self):
         reading = self.reading(0)
         reading.on_listed()
         reading.on_forgotten()
         assert reading.step(0) is StoreStep.LIST
 
-    def test_old_knowledge_is_known_to_be_old(self):
+    def test_stale_records_are_not_current(self):
         reading = self.reading(0)
         reading.on_answer(100)
         assert reading.is_current(101, within_s=2)
         assert not reading.is_current(105, within_s=2)
 
-    def test_pauses_grow_to_a_bound(self):
+    def test_retry_pauses_are_bounded(self):
         reading = self.reading(0)
-        drawn = random.Random(1)
+        rng = random.Random(1)
         pauses = []
         for _ in range(12):
             reading.on_failed()
-            pauses.append(reading.pause_s(drawn))
+            pauses.append(reading.pause_s(rng))
         assert pauses[0] < 0.2
         assert max(pauses) <= 0.8
 
-    def test_a_process_that_starts_may_use_old_weights_for_a_moment(self):
-        """Nobody was served for five seconds after a kill of all processes.
+    def test_a_starting_process_may_use_old_weights_until_enforcement(self):
+        """Requests must be served after a kill of all processes.
 
-        Symptom: from two seconds after the kill on every request is refused.
-        Sequence: a version is named, hosts read it, all processes are killed;
-        the new ones find the version without its age. Cause: it counted as
-        one whose window had ended, though nobody had loaded it.
+        A version is named, hosts read it, and all processes are killed; the
+        new ones find the version without its age. If it counted as one whose
+        window has ended, though no engine has loaded it, every request would
+        be refused for five seconds, from two seconds after the kill.
         """
         releases = Releases(9.7, free_until=103)
         releases.on_named('m', 2, age_s=None, now=100)
         assert releases.ends_at('m', 1) == pytest.approx(103)
 
-    def test_a_version_that_is_found_late_gets_no_more_time(self):
-        """The store may answer a new process only seconds after its start."""
+    def test_a_version_found_after_enforcement_ends_the_previous_one_at_once(
+        self,
+    ):
+        """The store may first answer a new process seconds after its start."""
         releases = Releases(9.7, free_until=103)
         releases.on_named('m', 2, age_s=None, now=105)
         assert releases.ends_at('m', 1) == pytest.approx(105)
 
-    def test_who_knows_the_age_is_believed(self):
+    def test_a_reported_age_replaces_an_unknown_one(self):
         releases = Releases(9.7, free_until=103)
         releases.on_named('m', 2, age_s=None, now=100)
         releases.on_named('m', 2, age_s=9, now=100)
         assert releases.ends_at('m', 1) == pytest.approx(100.7)
 
-    def test_an_age_that_comes_later_counts(self):
-        """A restarted entry used few engines for a whole window.
+    def test_an_age_received_later_is_applied(self):
+        """A restarted entry must apply the age of a version it already knows.
 
-        Symptom: after a restart in the middle of a change of versions an
-        entry refuses what others serve. Sequence: it lists the records, which
-        have no times; a peer tells the version's age a moment later. Cause:
-        the same version told again was passed over.
+        An entry restarts during a version change and lists the records, which
+        have no times; a peer sends the version's age a moment later. If the
+        repeated version were ignored, the entry would use few engines for a
+        complete window and refuse requests that other entries serve.
         """
         releases = Releases(8)
         releases.on_named('m', 2, age_s=None, now=100)
--- a/tests/catalog/test_watch_ages.py
+++ b/tests/catalog/test_watch_ages.py
@@ -7,18 +7,18 @@
 from crowrudder_core.catalog import Punctuality, WatchAges
 
 
-def since(ages, asked_at, now, **more):
-    """Give the earliest publication of an answer's changes."""
-    more = {
+def earliest_publication(ages, asked_at, now, **overrides):
+    """Return the earliest publication time of an answer's changes."""
+    overrides = {
         'confirmed_at': now,
         'returned_at': -math.inf,
         'is_punctual': True,
-        **more,
+        **overrides,
     }
-    return ages.published_since(asked_at, now, **more)
+    return ages.published_since(asked_at, now, **overrides)
 
 
-def answered(ages, asked_at, now, *, has_changes=False, is_punctual=True):
+def record_answer(ages, asked_at, now, *, has_changes=False, is_punctual=True):
     ages.on_answer(
         asked_at,
         now,
@@ -29,54 +29,58 @@
 
 
 class TestWatchAges:
-    def test_what_comes_while_the_watch_waits_is_new(self):
-        ages = WatchAges(level_at=100)
-        assert since(ages, 100.1, 101) == 101
+    def test_a_change_during_the_wait_is_new(self):
+        ages = WatchAges(known_until=100)
+        assert earliest_publication(ages, 100.1, 101) == 101
 
-    def test_what_is_there_at_once_may_be_as_old_as_the_last_answer(self):
-        """A version was named while the watch before had hung."""
+    def test_an_immediate_change_may_be_as_old_as_the_last_answer(self):
+        """A version was named while the previous watch hung."""
         ages = WatchAges()
-        answered(ages, 98, 100)
-        assert since(ages, 103, 103.01) == 100
+        record_answer(ages, 98, 100)
+        assert earliest_publication(ages, 103, 103.01) == 100
 
-    def test_one_that_begins_to_watch_knows_the_last_sign_of_others(self):
-        """All that watched died at once, and a version was named.
+    def test_a_new_watcher_uses_the_last_confirmation_of_others(self):
+        """A change found by a new watcher is as old as the last confirmation.
 
-        Symptom: requests begin on an old version two seconds after its end.
-        Sequence: the four processes that watch are killed, a version is named
-        before others step in, these find it with their first watch. Cause: it
-        counted as new.
+        The four watching processes are killed, a version is named before
+        others take over, and these find it with their first watch. If it
+        counted as new, requests would begin on the old version two seconds
+        after its end.
         """
-        ages = WatchAges(level_at=50)
+        ages = WatchAges(known_until=50)
         ages.on_rest()
-        assert since(ages, 102.8, 102.81, confirmed_at=100) == 100
+        assert (
+            earliest_publication(ages, 102.8, 102.81, confirmed_at=100) == 100
+        )
 
-    def test_what_was_named_in_an_absence_is_as_old_as_the_return(self):
-        ages = WatchAges(level_at=100)
-        found = since(ages, 108, 108.01, returned_at=108.01)
+    def test_a_change_during_an_outage_is_as_old_as_its_end(self):
+        ages = WatchAges(known_until=100)
+        found = earliest_publication(ages, 108, 108.01, returned_at=108.01)
         assert found == 108.01
 
-    def test_a_process_that_stood_still_takes_no_absence_for_the_platforms(
+    def test_a_suspended_process_assumes_no_outage_of_the_platform(
         self,
     ):
-        ages = WatchAges(level_at=100)
-        found = since(ages, 100.1, 105, returned_at=105, is_punctual=False)
+        ages = WatchAges(known_until=100)
+        found = earliest_publication(
+            ages, 100.1, 105, returned_at=105, is_punctual=False
+        )
         assert found == 100
 
-    def test_an_empty_answer_that_is_read_late_was_given_in_time(self):
+    def test_an_empty_answer_read_late_was_sent_in_time(self):
         ages = WatchAges()
-        answered(ages, 100, 107, is_punctual=False)
-        assert since(ages, 107, 107.01) == 102
+        record_answer(ages, 100, 107, is_punctual=False)
+        assert earliest_publication(ages, 107, 107.01) == 102
 
-    def test_changes_that_are_read_late_may_be_as_old_as_the_question(self):
-        ages = WatchAges(level_at=99)
-        answered(ages, 100, 105, has_changes=True, is_punctual=False)
-        assert since(ages, 105.1, 105.11) == 100
+    def test_changes_read_late_may_be_as_old_as_the_request(self):
+        ages = WatchAges(known_until=99)
+        record_answer(ages, 100, 105, has_changes=True, is_punctual=False)
+        assert earliest_publication(ages, 105.1, 105.11) == 100
 
-    def test_a_list_is_as_of_its_first_page(self):
+    def test_a_list_is_complete_up_to_its_request(self):
         ages = WatchAges()
         ages.on_listed(100)
-        assert since(ages, 101, 101.01) == 100
+        assert earliest_publication(ages, 101, 101.01) == 100
 
 
 class TestPunctuality:
@@ -87,13 +91,13 @@
             punctuality.on_tick(100 + 0.25 * number)
         return punctuality
 
-    def test_is_given_between_ticks(self, ticking):
+    def test_punctual_between_ticks(self, ticking):
         assert ticking.is_given(101.2)
 
-    def test_is_not_given_while_a_tick_is_overdue(self, ticking):
+    def test_not_punctual_while_a_tick_is_overdue(self, ticking):
         assert not ticking.is_given(101.5)
 
-    def test_a_late_tick_does_not_hide_what_waited_with_it(self, ticking):
+    def test_not_punctual_until_a_tick_after_a_late_one(self, ticking):
         ticking.on_tick(106)
         assert not ticking.is_given(106.01)
         ticking.on_tick(106.25)
