--- a/packages/core/src/crowrudder_core/config/_book.py
+++ b/packages/core/src/crowrudder_core/config/_book.py
@@ -9,21 +9,22 @@
 from crowrudder_model import InvariantError
 from crowrudder_model.declared import Bundle, BundleError, decode_bundle
 
-MOST_KNOWN = 64
-"""Bundles that lost, remembered so that each is told once."""
+MAX_REMEMBERED = 64
+"""Superseded bundles and held offers that are remembered, so that each lost
+bundle is reported once."""
 
-MOST_RECENT = 3
-"""Bundles kept, so that a peer can be sent what changed since its own."""
+MAX_RECENT_BUNDLES = 3
+"""Bundles kept, so that a peer can be sent the delta from its own."""
 
 
 class ConfigOrder(NamedTuple):
-    """The place of a bundle in the one total order.
+    """The position of a bundle in the total order.
 
-    It follows from the content alone, so that it is the same on every host,
-    whatever the order of arrival and whatever the platform counts. The
-    platform's revision is no part of it: a platform that was rebuilt counts
-    anew, and hosts that had seen the old count would keep another bundle for
-    ever than hosts that start later.
+    It depends on the content alone, so that it is the same on every host,
+    whatever the order of arrival and the platform's revisions. The platform's
+    revision isn't part of it: a rebuilt platform restarts its count, and hosts
+    that had seen the old count would permanently keep another bundle than
+    hosts that start later.
 
     >>> ConfigOrder(2, 'aa') > ConfigOrder(1, 'ff')
     True
@@ -43,20 +44,20 @@
 
 @frozen
 class Ignored:
-    """Nothing new: in force, older, or told before."""
+    """The offer has no effect: in force, older, or reported before."""
 
 
 @frozen
 class Held:
-    """The bundle is kept until the start is over."""
+    """The bundle is kept until the startup is complete."""
 
 
 @frozen(kw_only=True)
 class Lost:
-    """A bundle that an operator published and another one beat.
+    """A published bundle that lost against a concurrent one.
 
-    Either both have one generation, and the higher digest is in force, or the
-    winner was made without knowing of it.
+    Either both have the same generation, and the higher digest is in force,
+    or the winner was made without knowledge of the loser.
     """
 
     digest: str
@@ -76,7 +77,7 @@
 
 @frozen(kw_only=True)
 class Offer:
-    """Bytes that the platform or a peer gave, and who that was."""
+    """Bytes received from the platform or a peer, and their sender."""
 
     payload: bytes
     revision: int
@@ -88,17 +89,17 @@
 
 @define
 class ConfigBook:
-    """Keep the newest bundle; what is in force never goes back.
+    """Keep the newest bundle in force; its order never decreases.
 
-    A fresh process opens its book only when its peers were asked. Without
-    that, a host that starts beside a stale platform would put an old bundle
-    in force for as long as it takes to hear of the newer one; it would be
-    seen as a replaced host that serves customers by withdrawn rules.
+    A new process accepts offers only after it has asked its peers. Otherwise,
+    a host that starts while the platform is stale would put an old bundle in
+    force until it receives the newer one, and a replaced host would serve
+    customers by withdrawn rules.
 
     Parameters
     ----------
     is_open
-        Whether offers come into force at once.
+        Whether offers come into force at once. Until then they are held.
     """
 
     is_open: bool = False
@@ -109,34 +110,34 @@
     refused: Refused | None = None
     lost: Lost | None = None
     _held: list[Offer] = field(factory=list)
-    _known: dict[str, None] = field(factory=dict)
+    _reported: dict[str, None] = field(factory=dict)
     _recent: dict[str, Bundle] = field(factory=dict)
 
     @property
     def order(self) -> ConfigOrder:
-        """The place of the bundle in force in the total order."""
+        """The position of the bundle in force in the total order."""
         return order_of(self.bundle)
 
     def recent(self, digest: str) -> Bundle | None:
-        """Give a bundle that is or was in force here a short while ago."""
+        """Return a bundle that is or recently was in force here."""
         return self._recent.get(digest)
 
     def open(self, *, now: float) -> tuple[Verdict, ...]:
-        """End the start: the newest of what was held comes into force."""
+        """End the startup: the newest held offer comes into force."""
         self.is_open = True
         held, self._held = self._held, []
-        # Backwards, so that the newest is accepted first and no older one
-        # is in force in between.
+        # In descending order, so that the newest is accepted first and no
+        # older bundle is in force in between.
         held.sort(key=_order_of_offer, reverse=True)
         return tuple(self.offer(offer, now=now) for offer in held)
 
     def offer(self, offer: Offer, *, now: float) -> Verdict:
-        """Decide on bytes that the platform or a peer gave.
+        """Decide on bytes received from the platform or a peer.
 
         Parameters
         ----------
         now
-            Wall time in seconds, noted as the time it came into force.
+            Wall time in seconds, recorded as the time of coming into force.
         """
         if self.payload and offer.payload == self.payload:
             return Ignored()
@@ -147,12 +148,12 @@
         if not self.is_open:
             self._hold(offer)
             return Held()
-        return self._place(bundle, offer, now)
+        return self._accept_or_ignore(bundle, offer, now)
 
     def _hold(self, offer: Offer) -> None:
         if offer not in self._held:
             self._held.append(offer)
-            del self._held[:-MOST_KNOWN]
+            del self._held[:-MAX_REMEMBERED]
 
     def _refuse(self, reason: str, offer: Offer) -> Refused | Ignored:
         refused = Refused(
@@ -165,44 +166,46 @@
             return Ignored()
         return refused
 
-    def _place(self, bundle: Bundle, offer: Offer, now: float) -> Verdict:
+    def _accept_or_ignore(
+        self, bundle: Bundle, offer: Offer, now: float
+    ) -> Verdict:
         offered = order_of(bundle)
         if offered == self.order:
             return Ignored()
         if offered < self.order:
-            return self._below(bundle)
+            return self._reject_lower(bundle)
         before = self.bundle
-        self._set(bundle, offer, now)
+        self._activate(bundle, offer, now)
         if before is not None and _is_race(before, bundle):
-            self._note_lost(before)
+            self._record_lost(before)
         return Accepted(bundle=bundle, before=order_of(before))
 
-    def _below(self, bundle: Bundle) -> Lost | Ignored:
+    def _reject_lower(self, bundle: Bundle) -> Lost | Ignored:
         if self.bundle is None or not _is_race(bundle, self.bundle):
             return Ignored()
-        if bundle.digest in self._known:
+        if bundle.digest in self._reported:
             return Ignored()
-        return self._note_lost(bundle)
+        return self._record_lost(bundle)
 
-    def _set(self, bundle: Bundle, offer: Offer, now: float) -> None:
+    def _activate(self, bundle: Bundle, offer: Offer, now: float) -> None:
         before = self.order
         if order_of(bundle) <= before:
-            raise InvariantError('configuration went back', step='accept')
+            raise InvariantError('configuration order decreased', step='accept')
         self.bundle = bundle
         self.payload = offer.payload
         self.revision = offer.revision
         self.in_force_since = now
         self.refused = None
         self._recent[bundle.digest] = bundle
-        while len(self._recent) > MOST_RECENT:
+        while len(self._recent) > MAX_RECENT_BUNDLES:
             del self._recent[next(iter(self._recent))]
         if self.lost is not None and self.lost.generation < before.generation:
             self.lost = None
 
-    def _note_lost(self, bundle: Bundle) -> Lost:
-        self._known[bundle.digest] = None
-        while len(self._known) > MOST_KNOWN:
-            del self._known[next(iter(self._known))]
+    def _record_lost(self, bundle: Bundle) -> Lost:
+        self._reported[bundle.digest] = None
+        while len(self._reported) > MAX_REMEMBERED:
+            del self._reported[next(iter(self._reported))]
         self.lost = Lost(
             digest=bundle.digest,
             generation=bundle.declaration.generation,
@@ -213,24 +216,24 @@
 
 
 def order_of(bundle: Bundle | None) -> ConfigOrder:
-    """Give the place of a bundle; the lowest where there is none."""
+    """Return the order of a bundle; the lowest if there is none."""
     if bundle is None:
         return ConfigOrder()
     return ConfigOrder(bundle.declaration.generation, bundle.digest)
 
 
 def _is_race(lower: Bundle, higher: Bundle) -> bool:
-    """Tell whether two operators published without knowing of each other.
+    """Return whether two operators published concurrently.
 
     The next generation after `lower` that doesn't name it as its parent was
-    made from an older state. Where generations were missed in between nobody
-    can tell, and nothing is claimed.
+    made from an older state. If generations in between are missing, this can't
+    be determined, and the result is false.
     """
     low, high = lower.declaration, higher.declaration
     if low.generation == high.generation:
         return True
-    follows = high.generation == low.generation + 1
-    return follows and high.parent != lower.digest
+    is_successor = high.generation == low.generation + 1
+    return is_successor and high.parent != lower.digest
 
 
 def _order_of_offer(offer: Offer) -> ConfigOrder:
--- a/packages/core/src/crowrudder_core/config/_reading.py
+++ b/packages/core/src/crowrudder_core/config/_reading.py
@@ -19,31 +19,31 @@
 WATCHERS = 3
 """Processes of a failure domain that hold a watch at the platform."""
 
-SILENCE_S = 6.0
-"""Without a word from any peer for so long, a process reads for itself."""
+PEER_SILENCE_TIMEOUT_S = 6.0
+"""Time without a message from any peer until a process polls the platform."""
 
-STALE_S = 20.0
-"""Without a sign that anyone still reads the platform, others step in."""
+STALE_READ_S = 20.0
+"""Age of the last reading by any process at which others take over."""
 
-STEP_S = 2.0
-"""So much later the next three ranks of a failure domain step in."""
+RANK_GROUP_DELAY_S = 2.0
+"""Additional delay until the next three ranks of a failure domain take over."""
 
-BACKOFF_FIRST_S = 0.5
-"""Half of the first pause before a watch that failed is tried again."""
+BACKOFF_BASE_S = 0.5
+"""Half of the first pause before a failed watch is retried."""
 
-BACKOFF_MOST = 8
+MAX_BACKOFF_FACTOR = 8
 """Longest pause after failures, as a multiple of the polling interval."""
 
-POLL_SPREAD = 2.5
-"""Polls of one source are so many polling intervals apart: there are two
-sources, and all processes may poll at once."""
+POLL_INTERVAL_FACTOR = 2.5
+"""Time between polls of one source in polling intervals: there are two sources,
+and all processes may poll at once."""
 
-START_SPREAD = 1.25
-"""The same for a start, which reads the members alone."""
+START_RETRY_FACTOR = 1.25
+"""The same factor for startup, which reads only the members."""
 
 
 class ReadingMode(enum.Enum):
-    """How a process learns what the platform has."""
+    """How a process learns about changes at the platform."""
 
     WATCH = 'watch'
     POLL = 'poll'
@@ -55,7 +55,7 @@
     members: Iterable[Member],
     suspects: Collection[str] = (),
 ) -> list[str]:
-    """Rank the hosts of a failure domain; the first ones watch."""
+    """Rank the live hosts of a failure domain; the first ones watch."""
     hosts = (
         member.host
         for member in members
@@ -68,15 +68,16 @@
 
 @define
 class PlatformReading:
-    """Keep the platform's calls bounded, and the platform read.
+    """Keep the platform read with a bounded number of calls.
 
-    The platform takes a limited number of calls from the whole fleet; a watch
-    by each process would put all their next calls into the second after a
-    change. So few watch, and tell the rest. What goes wrong with that alone:
-    the watchers of every domain die, hang, or lose the platform, and no change
-    comes into force any more, though all hosts talk happily to each other. So
-    each message between processes carries the age of the last reading that its
-    sender knows of, and when it grows old everywhere, others step in by rank.
+    The platform accepts a limited number of calls from the whole fleet, and
+    with a watch by each process all their next calls would fall into the
+    second after a change. Therefore few processes watch and inform the rest.
+    If the watchers of every domain die, hang, or can't reach the platform, no
+    change would come into force any more, though all hosts communicate
+    normally. Therefore each message between processes carries the age of the
+    last reading known to its sender, and when this age is high everywhere,
+    others take over by rank.
 
     Times are seconds of one monotonic clock.
     """
@@ -84,7 +85,7 @@
     host: str
     domain: str
     started_at: float
-    heard_at: float = -math.inf
+    peer_seen_at: float = -math.inf
     read_at: float = -math.inf
     rank: int | None = None
     failures: int = 0
@@ -94,66 +95,67 @@
         members: Iterable[Member],
         suspects: Collection[str] = (),
     ) -> None:
-        """Find this host's rank in its failure domain."""
+        """Compute this host's rank in its failure domain."""
         order = watchers_of(self.domain, members, suspects)
         self.rank = order.index(self.host) if self.host in order else None
 
     def on_heard(self, age_s: float, now: float) -> None:
-        """Take note of a peer's word, with the age of its last reading."""
-        self.heard_at = now
+        """Record a peer's message with the age of the last reading it knows."""
+        self.peer_seen_at = now
         self.read_at = max(self.read_at, now - max(age_s, 0))
 
     def on_read(self, now: float) -> None:
-        """Take note that the platform answered this process."""
+        """Record that the platform answered this process."""
         self.read_at = now
         self.failures = 0
 
     def on_failed(self) -> None:
-        """Take note that the platform gave no answer."""
+        """Record that the platform gave no answer."""
         self.failures += 1
 
     def age_s(self, now: float) -> float:
-        """Give the age of the last reading that this process knows of."""
+        """Return the age of the last reading known to this process."""
         return now - max(self.read_at, self.started_at)
 
     def mode(self, now: float) -> ReadingMode:
-        """Tell how to read now."""
+        """Return how to read now."""
         if self.rank is not None and self.rank < WATCHERS:
             return ReadingMode.WATCH
-        if now - self.heard_at > SILENCE_S:
+        if now - self.peer_seen_at > PEER_SILENCE_TIMEOUT_S:
             return ReadingMode.POLL
-        behind = (self.rank or 0) // WATCHERS
-        if self.age_s(now) > STALE_S + behind * STEP_S:
+        rank_group = (self.rank or 0) // WATCHERS
+        if self.age_s(now) > STALE_READ_S + rank_group * RANK_GROUP_DELAY_S:
             return ReadingMode.POLL
         return ReadingMode.LISTEN
 
     def first_poll_s(self, poll_s: float, random: Random) -> float:
-        """Give the time until the first poll of a source.
+        """Return the time until the first poll of a source.
 
-        A cut network silences all peers of all hosts at once. Without a first
-        pause over the whole interval, each would call in the same second.
+        A network failure cuts off all peers of all hosts at once. Without a
+        random first pause over the whole interval, all processes would call in
+        the same second.
         """
-        return POLL_SPREAD * poll_s * random.uniform(0, 1)
+        return POLL_INTERVAL_FACTOR * poll_s * random.uniform(0, 1)
 
     def poll_pause_s(self, poll_s: float, random: Random) -> float:
-        """Give the time from one poll of a source to the next."""
-        factor = 1 << min(self.failures, BACKOFF_MOST)
-        longest = poll_s * BACKOFF_MOST
-        pause_s = min(POLL_SPREAD * poll_s * factor, longest)
+        """Return the time from one poll of a source to the next."""
+        factor = 1 << min(self.failures, MAX_BACKOFF_FACTOR)
+        longest = poll_s * MAX_BACKOFF_FACTOR
+        pause_s = min(POLL_INTERVAL_FACTOR * poll_s * factor, longest)
         return pause_s * random.uniform(0.9, 1.1)
 
     def start_pause_s(self, poll_s: float, random: Random) -> float:
-        """Give the time until a start that read no members tries again.
+        """Return the time until a startup without members retries.
 
-        It is longer than the interval over which all may have started, so
-        that the second calls don't fall among the first ones.
+        It is longer than the interval over which all processes may have
+        started, so that second calls don't overlap with first ones.
         """
-        tries = min(max(self.failures, 1), BACKOFF_MOST)
-        pause_s = START_SPREAD * poll_s * tries
+        tries = min(max(self.failures, 1), MAX_BACKOFF_FACTOR)
+        pause_s = START_RETRY_FACTOR * poll_s * tries
         return pause_s * random.uniform(0.9, 1.1)
 
     def retry_pause_s(self, poll_s: float, random: Random) -> float:
-        """Give the time until a watch that failed is tried again."""
-        factor = 1 << min(self.failures, BACKOFF_MOST)
-        pause_s = min(BACKOFF_FIRST_S * factor, poll_s * BACKOFF_MOST)
+        """Return the time until a failed watch is retried."""
+        factor = 1 << min(self.failures, MAX_BACKOFF_FACTOR)
+        pause_s = min(BACKOFF_BASE_S * factor, poll_s * MAX_BACKOFF_FACTOR)
         return pause_s * random.uniform(0.5, 1)
--- a/tests/config/test_knowledge_task.py
+++ b/tests/config/test_knowledge_task.py
@@ -1,4 +1,4 @@
-"""A fleet's knowledge under failures of the platform and the network."""
+"""Configuration and members of a fleet under platform and network faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TestSpread:
-    def test_in_force_everywhere_though_few_read(self) -> None:
+    def test_change_reaches_all_hosts_with_few_reads(self) -> None:
         async def scenario() -> None:
             async with FakeFleet(fleet(24, domains=2)) as hosts:
                 hosts.platform.publish(FIRST)
@@ -31,7 +31,9 @@
 
         run(scenario())
 
-    def test_half_of_the_watchers_die(self) -> None:
+    def test_change_reaches_all_hosts_after_half_of_the_watchers_die(
+        self,
+    ) -> None:
         async def scenario() -> None:
             async with FakeFleet(fleet(16, domains=2)) as hosts:
                 hosts.platform.publish(FIRST)
@@ -48,10 +50,11 @@
 
 
 class TestPartners:
-    def test_every_neighbour_has_its_turn(self) -> None:
-        """Symptom: of four neighbours one is never called in turn.
+    def test_every_neighbour_is_called(self) -> None:
+        """Probes must not make the round-robin skip a neighbour.
 
-        Every fourth exchange is a probe, and the turn counted the probes.
+        Every fourth exchange is a probe. If the round-robin counted the
+        probes, one of four neighbours would never be called.
         """
         members = fleet(5)
         state = KnowledgeState(runtime_of(members[0]), lambda _snapshot: None)
@@ -65,11 +68,14 @@
         'fault',
         ['down', 'stale', 'slow', 'garbage', 'half', 'flapping'],
     )
-    def test_keeps_what_it_has_and_goes_on_afterwards(self, fault: str) -> None:
-        """Meet a fault, publish into it, and start a process beside it.
+    def test_no_revert_during_a_fault_and_progress_after_it(
+        self, fault: str
+    ) -> None:
+        """Publish a bundle and start a process during a platform fault.
 
-        Nothing may go back while it lasts; a process that starts meanwhile
-        learns from its peers; once it is over the new bundle is in force.
+        No host may revert to an older bundle during the fault; a process that
+        starts during it learns from its peers; after it the new bundle comes
+        into force.
         """
 
         async def scenario() -> None:
@@ -90,12 +96,12 @@
 
         run(scenario())
 
-    def test_whole_fleet_replaced_beside_a_stale_platform(self) -> None:
-        """Symptom: an old bundle is back in force after a rolling restart.
+    def test_rolling_restart_with_a_stale_platform(self) -> None:
+        """A rolling restart must not bring an old bundle back into force.
 
-        The platform shows generation 1 while 2 is in force; the hosts are
-        replaced one after the other. Each new process read the platform
-        first, so that in the end nobody remembered 2.
+        The platform returns generation 1 while 2 is in force; the hosts are
+        replaced one after the other. If each new process used the platform's
+        bundle first, no host would have generation 2 in the end.
         """
 
         async def scenario() -> None:
@@ -119,11 +125,11 @@
 
 
 class TestPartition:
-    def test_both_sides_see_another_publication_and_heal(self) -> None:
-        """Each side reads its own copy of the platform; operators race."""
-        one = payload(2, parent=digest_in(FIRST), rate=2)
+    def test_partition_with_concurrent_publications_heals(self) -> None:
+        """Each side reads its own platform copy; operators publish on both."""
+        first_bundle = payload(2, parent=digest_in(FIRST), rate=2)
         other = payload(2, parent=digest_in(FIRST), rate=3)
-        loser, winner = sorted((one, other), key=digest_in)
+        loser, winner = sorted((first_bundle, other), key=digest_in)
 
         async def scenario() -> None:
             async with FakeFleet(fleet(10, domains=2)) as hosts:
@@ -133,13 +139,13 @@
                 hosts.far_side = frozenset(
                     member.host for member in hosts.members[::2]
                 )
-                hosts.platform.publish(one)
+                hosts.platform.publish(first_bundle)
                 hosts.other_platform.publish(other)
                 await hosts.in_force(2)
                 assert (
                     len({task.book.order for task in hosts.tasks.values()}) == 2
                 )
-                # Long enough that each side has given the other up.
+                # Wait until each side suspects all hosts of the other.
                 await hosts.until(lambda task: len(task.snapshot.suspects) == 5)
                 hosts.far_side = frozenset()
                 await hosts.until(
@@ -159,12 +165,13 @@
 
 
 class TestMembers:
-    def test_leaving_is_known_everywhere_and_ends_with_the_next_life(
+    def test_leaving_state_spreads_and_ends_with_the_next_incarnation(
         self,
     ) -> None:
-        """Symptom: a host that came back gets no work.
+        """A restarted host must get work again.
 
-        It left; its next life says `live`, but a peer passes the old word on.
+        The host left; its new incarnation reports `live`, but a peer forwards
+        the old status.
         """
 
         async def scenario() -> None:
@@ -183,7 +190,7 @@
 
         run(scenario())
 
-    def test_dead_host_is_suspected_until_it_is_back(self) -> None:
+    def test_dead_host_is_suspected_until_it_restarts(self) -> None:
         async def scenario() -> None:
             async with FakeFleet(fleet(8, domains=2)) as hosts:
                 hosts.platform.publish(FIRST)
@@ -197,10 +204,10 @@
 
         run(scenario())
 
-    def test_streams_that_break_are_a_suspicion_until_it_is_refuted(
+    def test_broken_streams_cause_a_suspicion_until_refuted(
         self,
     ) -> None:
-        """An entry's streams tell before its own exchanges do."""
+        """An entry's streams show a failure before its exchanges do."""
 
         async def scenario() -> None:
             async with FakeFleet(fleet(8, domains=2)) as hosts:
@@ -225,7 +232,7 @@
 
         run(scenario())
 
-    def test_list_is_spread_as_well(self) -> None:
+    def test_member_list_reaches_all_hosts_with_few_reads(self) -> None:
         async def scenario() -> None:
             async with FakeFleet(fleet(24, domains=2)) as hosts:
                 hosts.platform.publish(FIRST)
@@ -239,8 +246,10 @@
 
 
 class TestRace:
-    def test_loser_is_named_in_trail_and_status_of_who_saw_it(self) -> None:
-        """The platform has the loser last: the watchers name it, once."""
+    def test_loser_is_in_audit_log_and_status_of_hosts_that_read_it(
+        self,
+    ) -> None:
+        """The platform publishes the loser last; each watcher reports it once."""
         first = digest_in(FIRST)
         low, high = sorted(
             (payload(2, parent=first, rate=2), payload(2, parent=first)),
--- a/tests/config/test_reading.py
+++ b/tests/config/test_reading.py
@@ -1,4 +1,4 @@
-"""Who reads the platform: few, always someone, and never too many at once."""
+"""Which processes read the platform: few, at least one, never all at once."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 )
 from support.bundles import fleet
 
-FULL = 2140
-ALLOWED_PER_S = 500
+FLEET_SIZE = 2140
+MAX_CALLS_PER_S = 500
 POLL_S = 5.0
 SOURCES = 2
 
 
-def readers(count: int) -> list[PlatformReading]:
+def make_readings(count: int) -> list[PlatformReading]:
     members = fleet(count)
     found = []
     for each in members:
@@ -30,23 +30,25 @@
     return found
 
 
-def modes(found: list[PlatformReading], now: float) -> Counter[ReadingMode]:
+def count_modes(
+    found: list[PlatformReading], now: float
+) -> Counter[ReadingMode]:
     return Counter(reading.mode(now) for reading in found)
 
 
 class TestWatchers:
-    def test_few_in_each_failure_domain_whatever_the_size(self) -> None:
-        for count in (60, FULL):
-            found = readers(count)
+    def test_watchers_per_failure_domain_are_independent_of_size(self) -> None:
+        for count in (60, FLEET_SIZE):
+            found = make_readings(count)
             for reading in found:
                 reading.on_heard(age_s=0, now=1)
-            assert modes(found, 1)[ReadingMode.WATCH] == 18
+            assert count_modes(found, 1)[ReadingMode.WATCH] == 18
 
-    def test_all_processes_choose_the_same(self) -> None:
+    def test_ranking_is_independent_of_member_order(self) -> None:
         members = fleet(40)
-        turned = tuple(reversed(members))
+        reversed_members = tuple(reversed(members))
         assert watchers_of('domain-1', members) == watchers_of(
-            'domain-1', turned
+            'domain-1', reversed_members
         )
 
     def test_a_leaving_or_suspected_watcher_is_replaced(self) -> None:
@@ -60,70 +62,72 @@
 
 
 class TestSteppingIn:
-    def test_listener_that_hears_no_peer_reads_for_itself(self) -> None:
-        reading = readers(60)[-1]
+    def test_listener_without_peer_messages_polls(self) -> None:
+        reading = make_readings(60)[-1]
         reading.rank = 9
         reading.on_heard(age_s=0, now=1)
         assert reading.mode(2) is ReadingMode.LISTEN
         assert reading.mode(8) is ReadingMode.POLL
 
-    def test_all_watchers_hang_and_others_step_in_by_rank(self) -> None:
-        """Symptom: no change comes into force, though all hosts talk.
+    def test_other_ranks_take_over_when_all_watchers_hang(self) -> None:
+        """Changes must come into force when no watcher reaches the platform.
 
-        Every watcher loses the platform but goes on greeting its peers; the
-        age of the last reading grows in all greetings alike.
+        Every watcher loses the platform but continues to exchange hello
+        messages with its peers; the age of the last reading grows in all of
+        them alike.
         """
-        found = readers(600)
+        found = make_readings(600)
         for reading in found:
             reading.on_heard(age_s=0, now=0)
         polling = {}
         for now in range(1, 61):
             for reading in found:
                 reading.on_heard(age_s=now, now=now)
-            polling[now] = modes(found, now)[ReadingMode.POLL]
+            polling[now] = count_modes(found, now)[ReadingMode.POLL]
         assert polling[22] == 0
         assert polling[23] == 18
         assert list(polling.values()) == sorted(polling.values())
 
-    def test_one_reading_anywhere_sends_them_back_to_listening(self) -> None:
-        found = readers(600)
+    def test_a_recent_reading_anywhere_ends_polling(self) -> None:
+        found = make_readings(600)
         for reading in found:
             reading.on_heard(age_s=100, now=100)
-        assert modes(found, 100)[ReadingMode.POLL] > 18
+        assert count_modes(found, 100)[ReadingMode.POLL] > 18
         for reading in found:
             reading.on_heard(age_s=1, now=101)
-        assert modes(found, 101)[ReadingMode.POLL] == 0
+        assert count_modes(found, 101)[ReadingMode.POLL] == 0
 
 
 class TestCallsAtFullSize:
-    """Whatever happens to all 2,140 processes at once, calls stay bounded."""
+    """Calls are bounded when all 2,140 processes act at once."""
 
-    def test_all_peers_are_silent_and_everyone_polls(self) -> None:
-        """Symptom: 1,000 calls and more in the second after a network cut.
+    def test_polls_while_all_peers_are_silent(self) -> None:
+        """A network failure must not make all processes poll at once.
 
-        Each process polled at once when its peers fell silent.
+        If each process polled as soon as its peers are silent, 1,000 calls and
+        more would fall into one second.
         """
-        calls = polls(readers(FULL), fails=False)
-        assert max(calls.values()) < ALLOWED_PER_S
+        calls = count_polls(make_readings(FLEET_SIZE), fails=False)
+        assert max(calls.values()) < MAX_CALLS_PER_S
 
-    def test_platform_is_down_and_everyone_polls(self) -> None:
-        calls = polls(readers(FULL), fails=True)
-        assert max(calls.values()) < ALLOWED_PER_S
+    def test_polls_while_the_platform_is_down(self) -> None:
+        calls = count_polls(make_readings(FLEET_SIZE), fails=True)
+        assert max(calls.values()) < MAX_CALLS_PER_S
 
-    def test_all_start_together_while_the_platform_is_down(self) -> None:
-        """Each waits for a random part of `poll_s`, and longer each time."""
+    def test_simultaneous_start_while_the_platform_is_down(self) -> None:
+        """Each waits for a random part of `poll_s`, and longer at each retry."""
         random = Random(3)
         calls: Counter[int] = Counter()
-        for reading in readers(FULL):
+        for reading in make_readings(FLEET_SIZE):
             now = random.uniform(0, POLL_S)
             while now < 60:
                 calls[int(now)] += 1
                 reading.on_failed()
                 now += reading.start_pause_s(POLL_S, random)
-        assert max(calls.values()) < ALLOWED_PER_S
+        assert max(calls.values()) < MAX_CALLS_PER_S
 
-    def test_watchers_alone_retry_soon(self) -> None:
-        reading = readers(60)[0]
+    def test_a_watcher_retries_soon(self) -> None:
+        reading = make_readings(60)[0]
         reading.on_failed()
         assert reading.retry_pause_s(POLL_S, Random(1)) <= 1
         for _ in range(20):
@@ -131,8 +135,8 @@
         assert reading.retry_pause_s(POLL_S, Random(1)) <= POLL_S * 8
 
 
-def polls(found: list[PlatformReading], *, fails: bool) -> Counter[int]:
-    """Let everyone begin to poll both sources at once; calls by second."""
+def count_polls(found: list[PlatformReading], *, fails: bool) -> Counter[int]:
+    """Start polling both sources everywhere at once; return calls by second."""
     random = Random(1)
     calls: Counter[int] = Counter()
     for reading in found:
--- a/tests/config/test_spread_machine.py
+++ b/tests/config/test_spread_machine.py
@@ -1,11 +1,11 @@
-"""Any order, loss, doubling and delay ends on one bundle everywhere."""
+"""Hosts converge on one bundle despite reordering, loss, duplicates, delay."""
 
 from __future__ import annotations
 
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
-    Bundle as Names,
+    Bundle as StateBundle,
 )
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -25,9 +25,9 @@
 
 
 class Spread(RuleBasedStateMachine):
-    """A fleet of books, a platform that may be stale, and messages."""
+    """A fleet of `ConfigBook`, a platform that may be stale, and messages."""
 
-    published = Names('published')
+    published = StateBundle('published')
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,7 +44,7 @@
         follows=st.booleans(),
     )
     def publish(self, generation: int, rate: int, *, follows: bool) -> int:
-        """Operators publish, also at once and also an older generation."""
+        """Publish a bundle, possibly concurrent or of an older generation."""
         parent = digest_in(self.values[-1]) if self.values and follows else ''
         value = payload(generation, parent=parent, rate=rate)
         self.values.append(value)
@@ -53,17 +53,17 @@
     @rule(host=hosts, revision=published)
     def read_platform(self, host: int, revision: int) -> None:
         """Read any revision: fresh, stale, or after a rebuild."""
-        self.give(host, self.values[revision], revision)
+        self.offer_to(host, self.values[revision], revision)
 
     @rule(host=hosts, noise=st.binary(max_size=8), revision=published)
     def read_garbage(self, host: int, noise: bytes, revision: int) -> None:
         half = self.values[revision][:-1]
-        self.give(host, noise, revision)
-        self.give(host, half, revision)
+        self.offer_to(host, noise, revision)
+        self.offer_to(host, half, revision)
 
     @rule(sender=hosts, receiver=hosts)
     def send(self, sender: int, receiver: int) -> None:
-        """Put what a host has on its way, as a change where it can."""
+        """Send a host's bundle, as a delta if possible."""
         ours, theirs = self.books[sender], self.books[receiver]
         if ours.bundle is None:
             return
@@ -75,32 +75,32 @@
         offer = Offer(payload=value, revision=ours.revision, teller=str(sender))
         self.in_flight.append((receiver, offer))
 
-    @rule(place=st.integers(0, 99), doubled=st.booleans())
-    def deliver(self, place: int, *, doubled: bool) -> None:
-        """Deliver any message, not only the oldest; keep it if doubled."""
+    @rule(position=st.integers(0, 99), duplicated=st.booleans())
+    def deliver(self, position: int, *, duplicated: bool) -> None:
+        """Deliver any message, not only the oldest; keep it if duplicated."""
         if not self.in_flight:
             return
-        index = place % len(self.in_flight)
+        index = position % len(self.in_flight)
         receiver, offer = self.in_flight[index]
-        if not doubled:
+        if not duplicated:
             del self.in_flight[index]
         self.books[receiver].offer(offer, now=0)
 
-    @rule(place=st.integers(0, 99))
-    def lose(self, place: int) -> None:
+    @rule(position=st.integers(0, 99))
+    def lose_message(self, position: int) -> None:
         if self.in_flight:
-            del self.in_flight[place % len(self.in_flight)]
+            del self.in_flight[position % len(self.in_flight)]
 
     @rule(host=hosts, peer=hosts, revision=published)
     def replace(self, host: int, peer: int, revision: int) -> None:
-        """Start a fresh process: it reads a stale platform, asks one peer."""
+        """Start a new process that reads a stale platform and asks one peer."""
         known = ConfigOrder() if peer == host else self.books[peer].order
         asked = self.books[peer].payload
         self.books[host] = ConfigBook()
         self.highest[host] = ConfigOrder()
-        self.give(host, self.values[revision], revision)
+        self.offer_to(host, self.values[revision], revision)
         if peer != host and asked:
-            self.give(host, asked, revision)
+            self.offer_to(host, asked, revision)
         assert self.books[host].bundle is None
         self.books[host].open(now=0)
         assert self.books[host].order >= known
@@ -113,15 +113,15 @@
             self.best = max(self.best, book.order)
 
     def teardown(self) -> None:
-        """Let everyone exchange once round, twice: all end on the newest."""
+        """Exchange between all hosts twice: all end on the newest bundle."""
         held = max((book.order for book in self.books), default=ConfigOrder())
         for sender in (*range(HOSTS), *range(HOSTS)):
             for receiver in range(HOSTS):
                 if self.books[sender].payload:
-                    self.give(receiver, self.books[sender].payload, 0)
+                    self.offer_to(receiver, self.books[sender].payload, 0)
         assert {book.order for book in self.books} == {held}
 
-    def give(self, host: int, value: bytes, revision: int) -> None:
+    def offer_to(self, host: int, value: bytes, revision: int) -> None:
         offer = Offer(payload=value, revision=revision, teller='platform')
         self.books[host].offer(offer, now=0)
 
