--- a/packages/daemon/src/crowrudder_daemon/knowledge/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/__init__.py
@@ -1,4 +1,4 @@
-"""What a process knows of configuration and members, and how it learns."""
+"""Replication of configuration and membership to each process."""
 
 from crowrudder_daemon.knowledge._peers import PeerAnswered, PeerSilent
 from crowrudder_daemon.knowledge._snapshot import Snapshot
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_member_notes.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_member_changes.py
@@ -1,4 +1,4 @@
-"""Tell in few words how the members changed, for the audit trail."""
+"""Summarize changes of the members for the audit log."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 if TYPE_CHECKING:
     from crowrudder_daemon.knowledge._snapshot import Snapshot
 
-MOST_NAMED = 20
-"""Hosts that one event names: a failure domain that goes would fill the
-trail's memory otherwise."""
+MAX_NAMED_HOSTS = 20
+"""Hosts that one event lists. Without a limit, the loss of a failure domain
+would fill the memory of the audit log."""
 
 
 @frozen(kw_only=True)
-class MemberNote:
-    """The changed hosts and their states before and after."""
+class MemberChanges:
+    """The changed hosts with their states before and after."""
 
     subject: str
     before: str
     after: str
 
 
-def changes_of(before: Snapshot, after: Snapshot) -> MemberNote:
+def compare_members(before: Snapshot, after: Snapshot) -> MemberChanges:
     """Compare the members of two snapshots."""
     old, new = _states(before), _states(after)
     changed = [
         host for host in sorted({*old, *new}) if old.get(host) != new.get(host)
     ]
-    named = changed[:MOST_NAMED]
-    more = len(changed) - len(named)
-    return MemberNote(
+    named = changed[:MAX_NAMED_HOSTS]
+    omitted = len(changed) - len(named)
+    return MemberChanges(
         subject=f'{len(new)} members',
-        before=_listed(named, old, more),
-        after=_listed(named, new, more),
+        before=_format_states(named, old, omitted),
+        after=_format_states(named, new, omitted),
     )
 
 
@@ -47,8 +47,10 @@
     }
 
 
-def _listed(hosts: list[str], states: dict[str, str], more: int) -> str:
+def _format_states(
+    hosts: list[str], states: dict[str, str], omitted: int
+) -> str:
     texts = [f'{host}:{states.get(host, "absent")}' for host in hosts]
-    if more:
-        texts.append(f'and {more} more')
+    if omitted:
+        texts.append(f'and {omitted} more')
     return ' '.join(texts)
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_parts.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_parts.py
@@ -1,4 +1,4 @@
-"""Put knowledge into messages, and take it out of them again."""
+"""Encode bundles and member lists as message parts, and decode them."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     from crowrudder_model import Member
     from crowrudder_model.declared import Bundle
 
-MOST_INFLATED_BYTES = 16 * MOST_BUNDLE_BYTES
+MAX_INFLATED_BYTES = 16 * MOST_BUNDLE_BYTES
 
 
 class PartError(CrowrudderError):
-    """A part from a peer that doesn't lead to what it says."""
+    """A part from a peer that is damaged or doesn't match its base."""
 
 
 def bundle_part(
@@ -45,12 +45,13 @@
     *,
     known: Bundle | None,
 ) -> BundlePart | None:
-    """Give the bundle in force, as a change of one that the peer has.
+    """Return the bundle in force, as a delta from the peer's if possible.
 
     Parameters
     ----------
     known
-        what the peer has, where this process knows it; None for the whole.
+        the bundle that the peer has, if known here; None for a complete
+        bundle.
     """
     if book.bundle is None:
         return None
@@ -66,17 +67,17 @@
 
 
 def offer_of(part: BundlePart, base: Bundle | None, teller: str) -> Offer:
-    """Take the bundle out of a part.
+    """Return the offer in a part.
 
     Raises
     ------
     PartError
-        when it starts from another bundle than ``base``, or is damaged.
+        when its base is another bundle than ``base``, or it is damaged.
     """
     payload = _inflated(part.body, teller)
     if part.base:
         if base is None or base.digest != part.base:
-            raise PartError('a change of another bundle', step='take bundle')
+            raise PartError('delta from another bundle', step='take bundle')
         delta = decode_message(payload, BundleDelta, peer=teller)
         try:
             payload = apply_delta(base, delta, digest=part.digest)
@@ -86,7 +87,7 @@
 
 
 def members_part(listed: MemberList, edition: ListEdition) -> MembersPart:
-    """Give the member list, as a change of the peer's edition if it can."""
+    """Return the member list, as a delta from the peer's edition if possible."""
     delta = listed.delta_from(edition.digest)
     return MembersPart(
         edition=listed.edition,
@@ -100,12 +101,12 @@
     listed: MemberList,
     teller: str,
 ) -> tuple[Member, ...]:
-    """Take the member list out of a part.
+    """Return the member list in a part.
 
     Raises
     ------
     CrowrudderError
-        when it is damaged, or starts from a list that isn't known here.
+        when it is damaged, or its base is a list that isn't known here.
     """
     delta = decode_message(
         _inflated(part.body, teller),
@@ -117,6 +118,6 @@
 
 def _inflated(body: bytes, peer: str) -> bytes:
     try:
-        return inflate(body, most_bytes=MOST_INFLATED_BYTES, peer=peer)
+        return inflate(body, most_bytes=MAX_INFLATED_BYTES, peer=peer)
     except MalformedMessageError as exc:
         raise PartError(exc.message, step=exc.step, peer=peer) from exc
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_peers.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_peers.py
@@ -1,4 +1,4 @@
-"""The exchange with one peer, as its caller."""
+"""Client side of the exchange with peers."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 
 @frozen
-class HelloHeard:
-    """A peer told what it has."""
+class HelloReceived:
+    """A peer sent its hello message."""
 
     hello: Hello
 
 
 @frozen
 class PeerAnswered:
-    """A peer answered a call, or a stream from it began."""
+    """A peer answered a call or started a stream."""
 
     host: str
 
@@ -46,17 +46,17 @@
 
 
 @frozen
-class KnowledgeCame:
-    """A peer gave what was newer."""
+class KnowledgeReceived:
+    """A peer sent newer data."""
 
     knowledge: Knowledge
 
 
 class PeerCalls:
-    """Calls to neighbours, on channels of their own.
+    """Calls to neighbours on dedicated channels.
 
-    The channels are apart from those that carry requests: the ones to former
-    neighbours are closed, and nothing that runs may be cut off by that.
+    Requests use other channels, because channels to former neighbours are
+    closed here, and that must not cancel a running request.
     """
 
     def __init__(self) -> None:
@@ -64,22 +64,23 @@
         self._in_flight: Counter[str] = Counter()
 
     async def hello(self, member: Member, hello: Hello) -> Hello:
-        """Exchange greetings."""
+        """Exchange hello messages."""
         return await self._call(member, EXCHANGE, hello, HELLO_TIMEOUT_S)
 
     async def give(self, member: Member, knowledge: Knowledge) -> Hello:
-        """Give a peer what it lacks; it answers what it then has."""
+        """Send a peer what it is missing; return its state afterwards."""
         return await self._call(member, GIVE, knowledge, PART_TIMEOUT_S)
 
-    async def take(self, member: Member, ask: TakeAsk) -> Knowledge:
-        """Ask a peer for what is newer."""
-        return await self._call(member, TAKE, ask, PART_TIMEOUT_S)
+    async def take(self, member: Member, request: TakeAsk) -> Knowledge:
+        """Request newer data from a peer."""
+        return await self._call(member, TAKE, request, PART_TIMEOUT_S)
 
     async def keep_only(self, addresses: set[str]) -> None:
-        """Close the channels to all other addresses, but for running calls.
+        """Close the channels to other addresses that have no running calls.
 
-        A channel that closes cancels its calls, which would end the job that
-        waits for one: a process that tells nobody anything any more.
+        Closing a channel cancels its calls, which would end the background
+        task that waits for one, and the process would no longer inform its
+        peers.
         """
         busy = {peer for peer, calls in self._in_flight.items() if calls}
         await self._client.keep_only(addresses | busy)
@@ -92,7 +93,7 @@
         self,
         member: Member,
         method: Method[_Ask, _Reply],
-        ask: _Ask,
+        request: _Ask,
         timeout_s: float,
     ) -> _Reply:
         peer = member.rpc_address
@@ -101,7 +102,7 @@
             return await self._client.call(
                 peer,
                 method,
-                ask,
+                request,
                 timeout_s=timeout_s,
             )
         finally:
@@ -110,6 +111,6 @@
                 del self._in_flight[peer]
 
 
-def order_in(hello: Hello) -> ConfigOrder:
-    """Give the place of the bundle that a peer has."""
+def order_of_hello(hello: Hello) -> ConfigOrder:
+    """Return the order of the bundle that a peer has."""
     return ConfigOrder(hello.generation, hello.digest)
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_platform.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_platform.py
@@ -1,4 +1,4 @@
-"""Read and watch the platform; every call is counted."""
+"""Client that reads and watches the platform and counts its calls."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     from crowrudder_daemon.fetch import Answer
     from crowrudder_daemon.process import Runtime
 
-WATCH_S = 6
-"""How long a watch waits; its end is the sign that the platform answers."""
+WATCH_WAIT_S = 6
+"""How long a watch waits. Its empty answer confirms that the platform works."""
 
-ANSWER_S = 5.0
+ANSWER_TIMEOUT_S = 5.0
 HTTP_OK = 200
-HTTP_SAME = 204
-HTTP_NONE = 404
+HTTP_NO_CONTENT = 204
+HTTP_NOT_FOUND = 404
 
 _REVISION = re.compile('[0-9]{1,18}')
 
 
 class Source(enum.Enum):
-    """What the platform has."""
+    """A resource of the platform."""
 
     BUNDLE = '/v1/config/bundle'
     MEMBERS = '/v1/members'
@@ -40,7 +40,7 @@
 
 @frozen
 class BundleRead:
-    """The value that the platform has as the bundle."""
+    """The platform's bundle."""
 
     payload: bytes
     revision: int
@@ -48,7 +48,7 @@
 
 @frozen
 class MembersRead:
-    """The member list that the platform has."""
+    """The platform's member list."""
 
     members: tuple[Member, ...]
     revision: int
@@ -56,24 +56,24 @@
 
 @frozen
 class NothingNew:
-    """The platform answered that it has nothing, or nothing new."""
+    """The platform answered that it has no value or no new one."""
 
     source: Source
 
 
 @frozen
 class ReadFailed:
-    """The platform gave no answer that can be used."""
+    """The platform gave no valid answer."""
 
     source: Source
     reason: str
 
 
-PlatformWord = BundleRead | MembersRead | NothingNew | ReadFailed
+ReadResult = BundleRead | MembersRead | NothingNew | ReadFailed
 
 
 class PlatformClient:
-    """Calls to the platform, one at a time for each source."""
+    """Calls to the platform, at most one at a time per source."""
 
     def __init__(self, runtime: Runtime) -> None:
         self._fetcher = Fetcher(runtime.cfg.platform.address)
@@ -84,39 +84,41 @@
             labels=('source',),
         )
 
-    async def read(self, source: Source, *, watch: bool) -> PlatformWord:
+    async def read(self, source: Source, *, watch: bool) -> ReadResult:
         """Read a source, or wait until it changes.
 
         Parameters
         ----------
         watch
-            Wait for another revision than the one last read.
+            Wait for a revision other than the one last read.
         """
         revision = self._revisions[source]
         query = f'?after={revision}' if revision >= 0 else ''
         if watch and query:
-            query = f'{query}&wait={WATCH_S}'
+            query = f'{query}&wait={WATCH_WAIT_S}'
         self._calls.add(source=source.name.lower())
         try:
             answer = await self._fetcher.fetch(
                 source.value + query,
-                timeout_s=WATCH_S + ANSWER_S if watch else ANSWER_S,
+                timeout_s=WATCH_WAIT_S + ANSWER_TIMEOUT_S
+                if watch
+                else ANSWER_TIMEOUT_S,
             )
         except UpstreamError as exc:
             return ReadFailed(source, str(exc))
-        return self._word(source, answer)
+        return self._parse_answer(source, answer)
 
     def close(self) -> None:
-        """Drop the connections; a waiting watch ends."""
+        """Close the connections; a waiting watch ends."""
         self._fetcher.close()
 
-    def _word(self, source: Source, answer: Answer) -> PlatformWord:
-        if answer.status in {HTTP_SAME, HTTP_NONE}:
+    def _parse_answer(self, source: Source, answer: Answer) -> ReadResult:
+        if answer.status in {HTTP_NO_CONTENT, HTTP_NOT_FOUND}:
             return NothingNew(source)
         if answer.status != HTTP_OK:
             return ReadFailed(source, f'answered {answer.status}')
         if source is Source.BUNDLE:
-            return self._bundle(answer)
+            return self._parse_bundle(answer)
         try:
             revision, members = decode_members(answer.body)
         except MembersError as exc:
@@ -124,7 +126,7 @@
         self._revisions[source] = revision
         return MembersRead(members, revision)
 
-    def _bundle(self, answer: Answer) -> PlatformWord:
+    def _parse_bundle(self, answer: Answer) -> ReadResult:
         text = answer.header('X-Revision')
         if not _REVISION.fullmatch(text):
             return ReadFailed(Source.BUNDLE, f'X-Revision is {text[:20]!r}')
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_snapshot.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_snapshot.py
@@ -1,4 +1,4 @@
-"""An immutable picture of configuration and members for other tasks."""
+"""An immutable snapshot of configuration and members for other tasks."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @frozen(slots=False)
 class Snapshot:
-    """The bundle in force and the members, as one process sees them.
+    """The bundle in force and the members as seen by one process.
 
-    ``suspects`` may be dead: the list still has them as live, so that every
-    process places services alike, but callers are better sent elsewhere.
+    ``suspects`` may be dead. The member list still has them as live, so that
+    every process places services alike, but requests should go to other hosts.
     """
 
     bundle: Bundle | None = None
@@ -28,31 +28,31 @@
 
     @property
     def order(self) -> tuple[int, str]:
-        """Generation and digest in force; (0, '') where there is none."""
+        """Generation and digest in force; (0, '') without a bundle."""
         if self.bundle is None:
             return (0, '')
         return (self.bundle.declaration.generation, self.bundle.digest)
 
     @cached_property
     def placement(self) -> dict[str, Service]:
-        """Give the service of each agent host."""
+        """Return the service of each agent host."""
         if self.bundle is None:
             return {}
         return place(self.bundle.declaration, self.members)
 
     def by_role(self, role: str) -> tuple[Member, ...]:
-        """Give the members of a role."""
+        """Return the members of a role."""
         return tuple(member for member in self.members if member.role == role)
 
     def member(self, host: str) -> Member | None:
-        """Give a member by its host name."""
+        """Return a member by its host name."""
         for member in self.members:
             if member.host == host:
                 return member
         return None
 
     def hosts_of(self, service: str) -> list[Member]:
-        """Give the members that a service is placed on."""
+        """Return the members on which a service is placed."""
         return [
             member
             for member in self.by_role('agent')
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_state.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_state.py
@@ -1,4 +1,4 @@
-"""What a process knows, and what follows from each word that it hears."""
+"""Configuration and membership state, and its changes by received messages."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     OwnWord,
     neighbours_of,
 )
-from crowrudder_daemon.knowledge._member_notes import changes_of
+from crowrudder_daemon.knowledge._member_changes import compare_members
 from crowrudder_daemon.knowledge._parts import (
     bundle_part,
     members_of,
@@ -44,15 +44,15 @@
 MS = 1000
 
 PROBE_EVERY = 4
-"""Every so many exchanges go to any member, also to a suspect: after a
-partition, the neighbours of both sides are all on their own side."""
+"""Exchanges per probe. A probe goes to a random member, including suspects:
+after a partition, all neighbours of a host are on its own side."""
 
 
 class KnowledgeState:
-    """The aggregates of configuration and membership, side by side.
+    """The aggregates of configuration and membership.
 
-    Each method takes one event and says whether the neighbours should hear
-    of it at once.
+    A method that applies an event returns whether the neighbours should be
+    notified at once.
     """
 
     def __init__(
@@ -80,101 +80,104 @@
         self.neighbours: list[Member] = []
         self._runtime = runtime
         self._on_change = on_change
-        self._turn = 0
+        self._exchange_count = 0
 
     @property
     def knows_members(self) -> bool:
-        """Whether any member list was taken."""
+        """Return whether any member list was received."""
         return bool(self.view.published.edition.digest)
 
     def next_partner(self, rng: random.Random) -> Member | None:
-        """Choose whom to exchange with: one neighbour after the other."""
-        self._turn += 1
-        probes, is_no_probe = divmod(self._turn, PROBE_EVERY)
-        if self.neighbours and is_no_probe:
-            turn = self._turn - probes
-            return self.neighbours[turn % len(self.neighbours)]
+        """Choose the next exchange partner by round-robin over the neighbours.
+
+        Every `PROBE_EVERY`-th partner is a random member instead.
+        """
+        self._exchange_count += 1
+        probes, since_probe = divmod(self._exchange_count, PROBE_EVERY)
+        if self.neighbours and since_probe:
+            position = self._exchange_count - probes
+            return self.neighbours[position % len(self.neighbours)]
         members = self.snapshot.members
         others = [member for member in members if member.host != self.host]
         return rng.choice(others) if others else None
 
-    def open_book(self) -> bool:
-        """Put the newest of what the start brought in force."""
+    def open_config(self) -> bool:
+        """Put the newest bundle that was received during startup in force."""
         return any(
             [
-                self._tell(verdict, 'start')
+                self._record_verdict(verdict, 'start')
                 for verdict in self.book.open(now=time.time())
             ]
         )
 
-    def take_offer(self, offer: Offer) -> bool:
-        """Offer a bundle to the aggregate and tell what became of it."""
+    def apply_offer(self, offer: Offer) -> bool:
+        """Offer a bundle to the aggregate and record the verdict."""
         with self._counted('config_order'):
             verdict = self.book.offer(offer, now=time.time())
-        return self._tell(verdict, offer.teller)
+        return self._record_verdict(verdict, offer.teller)
 
-    def take_members(self, members: tuple[Member, ...], revision: int) -> bool:
-        """Take the platform's member list."""
+    def apply_members(self, members: tuple[Member, ...], revision: int) -> bool:
+        """Apply the platform's member list."""
         now = time.monotonic()
         with self._counted('member_order'):
             is_new = self.view.published.on_platform(members, revision, now)
         if is_new:
-            self.note_members('platform')
+            self.publish_members('platform')
         return is_new
 
-    def take_same_members(self) -> bool:
-        """Take the platform's word that its list is the one last read."""
+    def apply_unchanged_members(self) -> bool:
+        """Apply the platform's answer that its list is unchanged."""
         is_new = self.view.published.on_same(time.monotonic())
         if is_new:
-            self.note_members('platform')
+            self.publish_members('platform')
         return is_new
 
-    def take_hello(self, hello: Hello) -> bool:
-        """Take what a peer says of itself and of others."""
+    def apply_hello(self, hello: Hello) -> bool:
+        """Apply a peer's status message and its updates on others."""
         host = hello.sender.host
         self.reading.on_heard(hello.read_age_s, time.monotonic())
         self.view.on_call_answered(host)
-        heard = [
+        results = [
             self.view.on_news(news) for news in (hello.sender, *hello.news)
         ]
-        if any(each.is_new for each in heard):
-            self.note_members(host)
-        return any(each.urgent for each in heard)
+        if any(each.is_new for each in results):
+            self.publish_members(host)
+        return any(each.urgent for each in results)
 
-    def take_silence(self, host: str) -> None:
-        """Take note of a call that failed."""
+    def apply_call_failure(self, host: str) -> None:
+        """Apply a failed call to a peer."""
         if self.view.on_call_failed(host).is_new:
-            self.note_members(self.host)
+            self.publish_members(self.host)
 
-    def take_knowledge(self, knowledge: Knowledge) -> bool:
-        """Take what a peer had newer; a damaged part changes nothing."""
+    def apply_knowledge(self, knowledge: Knowledge) -> bool:
+        """Apply newer data from a peer; a damaged part changes nothing."""
         try:
-            return self._take_parts(knowledge)
+            return self._apply_parts(knowledge)
         except CrowrudderError as exc:
             self._runtime.log.warning(
-                'a part was no use: %s',
+                'part not applied: %s',
                 exc,
                 extra={'step': 'take', 'peer': knowledge.host},
             )
         return False
 
-    def lacking(
+    def missing_for(
         self,
         order: ConfigOrder,
         peer: Hello | TakeAsk,
         *,
-        whole: bool = False,
+        complete: bool = False,
     ) -> Knowledge | None:
-        """Put together what a peer lacks; None if it lacks nothing.
+        """Return what a peer is missing; None if it is up to date.
 
         Parameters
         ----------
-        whole
-            Send no change of the bundle that the peer says it has.
+        complete
+            Send a complete bundle, no delta from the one that the peer reports.
         """
         bundle, members = None, None
         if order < self.book.order:
-            known = None if whole else self.book.recent(order.digest)
+            known = None if complete else self.book.recent(order.digest)
             bundle = bundle_part(self.book, known=known)
         published = self.view.published
         if peer.edition < published.edition:
@@ -184,13 +187,13 @@
         return Knowledge(host=self.host, bundle=bundle, members=members)
 
     def is_behind(self, hello: Hello) -> bool:
-        """Tell whether a peer has something newer."""
+        """Return whether a peer has newer data."""
         order = ConfigOrder(hello.generation, hello.digest)
         edition = self.view.published.edition
         return self.book.order < order or edition < hello.edition
 
     def hello(self, peer: str) -> Hello:
-        """Write the greeting to a peer."""
+        """Return the hello message to a peer."""
         return Hello(
             sender=self.view.own.news,
             generation=self.book.order.generation,
@@ -200,8 +203,8 @@
             news=self.view.to_tell(peer),
         )
 
-    def ask(self) -> TakeAsk:
-        """Ask a peer for all that is newer than what is known here."""
+    def snapshot_request(self) -> TakeAsk:
+        """Return the request for all data newer than this process's."""
         return TakeAsk(
             host=self.host,
             generation=self.book.order.generation,
@@ -210,7 +213,7 @@
         )
 
     def status(self) -> dict[str, Any]:
-        """Tell what is in force here, since when, and what was refused."""
+        """Return what is in force here, since when, and what was refused."""
         book, now = self.book, time.monotonic()
         edition = self.view.published.edition
         return {
@@ -227,24 +230,24 @@
             'suspects': sorted(self.view.suspects()),
         }
 
-    def note_members(self, teller: str) -> None:
-        """Publish the members if they changed, and write the trail."""
+    def publish_members(self, teller: str) -> None:
+        """Publish the members if they changed, and write the audit log."""
         self.view.on_list()
         before = self.snapshot
         if not self.publish():
             return
-        told = changes_of(before, self.snapshot)
-        if told.before or told.after:
+        changes = compare_members(before, self.snapshot)
+        if changes.before or changes.after:
             self._runtime.audit.note(
                 kind='membership',
                 teller=teller,
-                subject=told.subject,
-                before=told.before,
-                after=told.after,
+                subject=changes.subject,
+                before=changes.before,
+                after=changes.after,
             )
 
     def publish(self) -> bool:
-        """Hand a new picture to the other tasks; false if nothing changed."""
+        """Pass a new snapshot to the other tasks; return whether it changed."""
         snapshot = Snapshot(
             self.book.bundle,
             self.view.members(),
@@ -260,14 +263,14 @@
 
     @contextmanager
     def _counted(self, invariant: str) -> Iterator[None]:
-        """Count an act that an invariant refuses."""
+        """Count a violated invariant."""
         try:
             yield
         except InvariantError:
             self._runtime.metrics.invariant_violated(invariant)
             raise
 
-    def _take_parts(self, knowledge: Knowledge) -> bool:
+    def _apply_parts(self, knowledge: Knowledge) -> bool:
         bundle, listed = knowledge.bundle, knowledge.members
         published, teller = self.view.published, knowledge.host
         is_new = False
@@ -276,27 +279,27 @@
             with self._counted('member_order'):
                 is_new = published.offer(listed.edition, members)
         if is_new:
-            self.note_members(teller)
+            self.publish_members(teller)
         if bundle is None:
             return is_new
         base = self.book.recent(bundle.base)
-        return self.take_offer(offer_of(bundle, base, teller)) or is_new
+        return self.apply_offer(offer_of(bundle, base, teller)) or is_new
 
-    def _tell(self, verdict: Verdict, teller: str) -> bool:
-        """Write the trail; true when a bundle came into force."""
+    def _record_verdict(self, verdict: Verdict, teller: str) -> bool:
+        """Write the audit log; return whether a bundle came into force."""
         match verdict:
             case Accepted(bundle=bundle, before=before):
                 self._audit(teller, 'bundle', before.digest, bundle.digest)
-                self._tell_lost(teller)
+                self._audit_lost(teller)
                 self.publish()
                 return True
             case Refused(reason=reason):
                 self._audit(teller, 'refused bundle', '', reason)
             case Lost():
-                self._tell_lost(teller)
+                self._audit_lost(teller)
         return False
 
-    def _tell_lost(self, teller: str) -> None:
+    def _audit_lost(self, teller: str) -> None:
         lost = self.book.lost
         if lost is not None and lost.winner == self.book.order.digest:
             self._audit(
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_task.py
@@ -1,4 +1,4 @@
-"""Learn configuration and members from the platform and from peers."""
+"""Task that replicates configuration and members from platform and peers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from crowrudder_core.config import ConfigOrder, Offer, ReadingMode
 from crowrudder_daemon._task import Task
 from crowrudder_daemon.knowledge._peers import (
-    HelloHeard,
-    KnowledgeCame,
+    HelloReceived,
+    KnowledgeReceived,
     PeerAnswered,
     PeerCalls,
     PeerSilent,
-    order_in,
+    order_of_hello,
 )
 from crowrudder_daemon.knowledge._platform import (
     BundleRead,
@@ -42,17 +42,18 @@
     from crowrudder_model import Member
     from crowrudder_model.messages import TakeAsk
 
-FROZEN_S = 5.0
-"""A loop that stood still for so long was frozen with its process."""
+SUSPENSION_THRESHOLD_S = 5.0
+"""A pause of the event loop from which the process counts as suspended."""
 
 
 @frozen(kw_only=True)
 class Pace:
-    """How often a process acts by itself, in seconds.
+    """Intervals of periodic work, in seconds.
 
-    ``exchange_s`` is the mean time between exchanges with one neighbour after
-    the other; ``push_gap_s`` stands between two rounds of telling all of
-    them, so that news gathers; ``tick_s`` is how often times are looked at.
+    ``exchange_s`` is the mean time between two exchanges with a neighbour
+    each; ``push_gap_s`` is the pause between two rounds of notifying all of
+    them, in which updates are collected; ``tick_s`` is the interval at which
+    times are checked.
     """
 
     exchange_s: float = 2.0
@@ -64,7 +65,7 @@
 
 
 class KnowledgeTask(Task):
-    """Owns what a process knows of configuration and membership."""
+    """Owns the configuration and membership state of a process."""
 
     def __init__(
         self,
@@ -78,7 +79,7 @@
         super().__init__(runtime.log)
         self.hinders = ''
         self.snapshot = Snapshot()
-        self._state = KnowledgeState(runtime, self._take_snapshot)
+        self._state = KnowledgeState(runtime, self._apply_snapshot)
         self._on_change = on_change
         self._poll_s = runtime.cfg.platform.poll_s
         self._platform = platform or PlatformClient(runtime)
@@ -93,41 +94,41 @@
         return self._state.book
 
     def serve(self, server: PeerServer) -> None:
-        """Answer the calls of peers."""
+        """Register the handlers for calls of peers."""
         server.add(EXCHANGE, self._on_exchange)
         server.add(GIVE, self._on_give)
         server.add(TAKE, self._on_take)
 
     def start(self) -> None:
-        """Start to learn, and to exchange with peers."""
+        """Start to read the platform and to exchange with peers."""
         super().start()
-        self.spawn(self._begin())
-        self.spawn(self._notice_freezes())
+        self.spawn(self._bootstrap())
+        self.spawn(self._detect_suspensions())
 
     async def stop(self) -> None:
-        """End all jobs and close the connections."""
+        """Stop all background tasks and close the connections."""
         await super().stop()
         self._platform.close()
         await self._calls.close()
 
     async def leave(self) -> None:
-        """Tell the neighbours that this process takes no new work.
+        """Notify the neighbours that this process accepts no new work.
 
-        They tell theirs at once, so that all know after a few hops.
+        They notify theirs at once, so that all hosts know it after a few hops.
         """
         self._state.view.own.leave()
         self._state.publish()
-        await self._tell_neighbours()
+        await self._exchange_with_neighbours()
 
     def status(self) -> dict[str, Any]:
-        """Tell what is in force here, since when, and what was refused."""
+        """Return what is in force here, since when, and what was refused."""
         return self._state.status()
 
     def on_bundle_read(self, message: BundleRead) -> None:
-        """Offer the platform's value to the aggregate."""
+        """Offer the platform's bundle to the aggregate."""
         self._state.reading.on_read(time.monotonic())
         self._push_if(
-            self._state.take_offer(
+            self._state.apply_offer(
                 Offer(
                     payload=message.payload,
                     revision=message.revision,
@@ -137,20 +138,20 @@
         )
 
     def on_members_read(self, message: MembersRead) -> None:
-        """Take the platform's member list."""
+        """Apply the platform's member list."""
         self._state.reading.on_read(time.monotonic())
         self._push_if(
-            self._state.take_members(message.members, message.revision)
+            self._state.apply_members(message.members, message.revision)
         )
 
     def on_nothing_new(self, message: NothingNew) -> None:
-        """Note that the platform answers."""
+        """Record that the platform answers."""
         self._state.reading.on_read(time.monotonic())
         if message.source is Source.MEMBERS:
-            self._push_if(self._state.take_same_members())
+            self._push_if(self._state.apply_unchanged_members())
 
     def on_read_failed(self, message: ReadFailed) -> None:
-        """Note that the platform doesn't answer."""
+        """Record that the platform doesn't answer."""
         self._state.reading.on_failed()
         self._log.warning(
             'platform not read: %s',
@@ -158,24 +159,24 @@
             extra={'step': message.source.value},
         )
 
-    def on_hello_heard(self, message: HelloHeard) -> None:
-        """Take what a peer says of itself and of others."""
-        self._push_if(self._state.take_hello(message.hello))
+    def on_hello_received(self, message: HelloReceived) -> None:
+        """Apply a peer's status message and its updates on others."""
+        self._push_if(self._state.apply_hello(message.hello))
 
     def on_peer_answered(self, message: PeerAnswered) -> None:
-        """Take note of a call that another task made."""
+        """Record a successful call that another task made."""
         self._state.view.on_call_answered(message.host)
 
     def on_peer_silent(self, message: PeerSilent) -> None:
-        """Take note of a call that failed."""
+        """Record a failed call."""
         self._log.debug('no exchange: %s', message.reason)
-        self._state.take_silence(message.host)
+        self._state.apply_call_failure(message.host)
 
-    def on_knowledge_came(self, message: KnowledgeCame) -> None:
-        """Take what a peer had newer."""
-        self._push_if(self._state.take_knowledge(message.knowledge))
+    def on_knowledge_received(self, message: KnowledgeReceived) -> None:
+        """Apply newer data from a peer."""
+        self._push_if(self._state.apply_knowledge(message.knowledge))
 
-    def _take_snapshot(self, snapshot: Snapshot) -> None:
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
         self._on_change(snapshot)
 
@@ -183,11 +184,11 @@
         if urgent:
             self._urgent.set()
 
-    async def _begin(self) -> None:
-        """Learn the members, ask peers, and only then trust the platform.
+    async def _bootstrap(self) -> None:
+        """Read the members, ask peers, and only then accept a bundle.
 
-        The first call waits for a random time: hosts that come up together,
-        as after a power cut, must not call all at once.
+        The first call waits for a random time, because hosts that start
+        together, as after a power cut, must not call all at once.
         """
         self.hinders = 'asks platform and peers what is in force'
         await asyncio.sleep(self._random.uniform(0, self._poll_s))
@@ -198,16 +199,16 @@
                 await asyncio.sleep(
                     reading.start_pause_s(self._poll_s, self._random)
                 )
-        await self._tell_neighbours()
-        self._push_if(self._state.open_book())
+        await self._exchange_with_neighbours()
+        self._push_if(self._state.open_config())
         self.hinders = ''
         for source in Source:
             self.spawn(self._follow(source))
-        self.spawn(self._exchange_for_ever())
-        self.spawn(self._push_for_ever())
+        self.spawn(self._exchange_loop())
+        self.spawn(self._push_loop())
 
     async def _follow(self, source: Source) -> None:
-        """Read one source for ever, in the way that the aggregate says."""
+        """Read one source continuously in the mode that the aggregate chooses."""
         reading, is_polling = self._state.reading, False
         while True:
             match reading.mode(time.monotonic()):
@@ -225,35 +226,35 @@
             await asyncio.sleep(pause_s)
 
     async def _watch(self, source: Source) -> float:
-        """Watch once; the seconds to wait before the next, if it failed."""
+        """Watch once; return the pause in seconds before the next watch."""
         if await self._read(source, watch=True):
             return 0
         return self._state.reading.retry_pause_s(self._poll_s, self._random)
 
     async def _read(self, source: Source, *, watch: bool) -> bool:
-        """Read once; false when there was no answer."""
-        word = await self._platform.read(source, watch=watch)
-        await self._handle(word)
-        return not isinstance(word, ReadFailed)
+        """Read once; return whether there was a valid answer."""
+        result = await self._platform.read(source, watch=watch)
+        await self._handle(result)
+        return not isinstance(result, ReadFailed)
 
-    async def _notice_freezes(self) -> None:
-        """Ask the neighbours first after the process stood still.
+    async def _detect_suspensions(self) -> None:
+        """Exchange with the neighbours at once after a suspension.
 
-        A process that was frozen believes what was true before; it would be
-        seen as old rules in force on one host for some seconds.
+        The state of a suspended process may be outdated when it resumes, and
+        old rules would stay in force on its host for some seconds.
         """
         last = time.monotonic()
         while True:
             await asyncio.sleep(self._pace.tick_s)
             now = time.monotonic()
-            stood_s, last = now - last, now
-            if stood_s > FROZEN_S and self.book.is_open:
-                self._log.warning('stood still for %.1f s', stood_s)
-                self.hinders = 'stood still and asks peers what is in force'
-                await self._tell_neighbours()
+            paused_s, last = now - last, now
+            if paused_s > SUSPENSION_THRESHOLD_S and self.book.is_open:
+                self._log.warning('event loop paused for %.1f s', paused_s)
+                self.hinders = 'was paused and asks peers what is in force'
+                await self._exchange_with_neighbours()
                 self.hinders = ''
 
-    async def _exchange_for_ever(self) -> None:
+    async def _exchange_loop(self) -> None:
         while True:
             pause_s = self._pace.exchange_s * self._random.uniform(0.5, 1.5)
             await asyncio.sleep(pause_s)
@@ -265,15 +266,15 @@
                 {neighbour.rpc_address for neighbour in neighbours}
             )
 
-    async def _push_for_ever(self) -> None:
-        """Tell all neighbours at once what can't wait for their turn."""
+    async def _push_loop(self) -> None:
+        """Notify all neighbours at once of urgent updates."""
         while True:
             await self._urgent.wait()
             self._urgent.clear()
-            await self._tell_neighbours()
+            await self._exchange_with_neighbours()
             await asyncio.sleep(self._pace.push_gap_s)
 
-    async def _tell_neighbours(self) -> None:
+    async def _exchange_with_neighbours(self) -> None:
         await asyncio.gather(
             *(self._exchange(member) for member in self._state.neighbours),
         )
@@ -282,33 +283,37 @@
         ours = self._state.hello(member.host)
         try:
             hello = await self._calls.hello(member, ours)
-            await self._handle(HelloHeard(hello))
-            await self._level(member, hello)
+            await self._handle(HelloReceived(hello))
+            await self._synchronize(member, hello)
         except PeerLostError as exc:
             await self._handle(PeerSilent(member.host, str(exc)))
 
-    async def _level(self, member: Member, hello: Hello) -> None:
-        """Give the peer what it lacks, and take what this process lacks."""
-        given = self._state.lacking(order_in(hello), hello)
-        if given is not None:
-            after = await self._calls.give(member, given)
-            # It may no longer have had the base of the change.
-            whole = self._state.lacking(order_in(after), after, whole=True)
-            if whole is not None and given.bundle is not None:
-                await self._calls.give(member, whole)
+    async def _synchronize(self, member: Member, hello: Hello) -> None:
+        """Send the peer what it is missing, and request what is missing here."""
+        sent = self._state.missing_for(order_of_hello(hello), hello)
+        if sent is not None:
+            after = await self._calls.give(member, sent)
+            # The peer may no longer have had the base of the delta.
+            complete = self._state.missing_for(
+                order_of_hello(after), after, complete=True
+            )
+            if complete is not None and sent.bundle is not None:
+                await self._calls.give(member, complete)
         if self._state.is_behind(hello):
-            taken = await self._calls.take(member, self._state.ask())
-            await self._handle(KnowledgeCame(taken))
+            received = await self._calls.take(
+                member, self._state.snapshot_request()
+            )
+            await self._handle(KnowledgeReceived(received))
 
     async def _on_exchange(self, hello: Hello, _context: object) -> Hello:
-        await self._handle(HelloHeard(hello))
+        await self._handle(HelloReceived(hello))
         return self._state.hello(hello.sender.host)
 
     async def _on_give(self, knowledge: Knowledge, _context: object) -> Hello:
-        await self._handle(KnowledgeCame(knowledge))
+        await self._handle(KnowledgeReceived(knowledge))
         return self._state.hello(knowledge.host)
 
-    async def _on_take(self, ask: TakeAsk, _context: object) -> Knowledge:
-        order = ConfigOrder(ask.generation, ask.digest)
-        found = self._state.lacking(order, ask)
+    async def _on_take(self, request: TakeAsk, _context: object) -> Knowledge:
+        order = ConfigOrder(request.generation, request.digest)
+        found = self._state.missing_for(order, request)
         return found or Knowledge(host=self._state.host)
--- a/tests/fuzz/test_declared.py
+++ b/tests/fuzz/test_declared.py
@@ -182,7 +182,7 @@
         )
         client = PlatformClient(runtime)
         answer = Answer(200, (('X-Revision', text),), BUNDLE)
-        word = client._word(Source.BUNDLE, answer)
+        word = client._parse_answer(Source.BUNDLE, answer)
         if isinstance(word, ReadFailed):
             assert 'X-Revision' in word.reason
         else:
--- a/tests/support/knowledge.py
+++ b/tests/support/knowledge.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from crowrudder_daemon.knowledge._platform import PlatformWord
+    from crowrudder_daemon.knowledge._platform import ReadResult
     from crowrudder_model import Member
 
 WATCH_S = 0.02
@@ -68,7 +68,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def word(self, source: Source) -> PlatformWord:
+    def word(self, source: Source) -> ReadResult:
         """Answer a call."""
         self.turns += 1
         if self.fault == 'down' or (
@@ -108,9 +108,9 @@
         super().__init__(runtime)
         self._host = runtime.cfg.process.host
         self._where = platform
-        self._last: dict[Source, PlatformWord] = {}
+        self._last: dict[Source, ReadResult] = {}
 
-    async def read(self, source: Source, *, watch: bool) -> PlatformWord:
+    async def read(self, source: Source, *, watch: bool) -> ReadResult:
         """Read or watch."""
         platform = self._where()
         platform.reads[self._host] += 1
