--- a/measure/_dispatch_policies.py
+++ b/measure/_dispatch_policies.py
@@ -39,7 +39,7 @@
 ) -> Outlook:
     """Choose as an entry does, or as one that draws another number."""
     choice = choose(
-        candidates, prompt=prompt, now=now, random=random, drawn=drawn
+        candidates, prompt=prompt, now=now, random=random, sample_size=drawn
     )
     assert choice is not None
     return choice.outlook
--- a/packages/core/src/crowrudder_core/forecast/__init__.py
+++ b/packages/core/src/crowrudder_core/forecast/__init__.py
@@ -1,4 +1,4 @@
-"""Forecasts of an upstream's answer by its own figures, and the choice."""
+"""Forecasts of an upstream's time to first event, and the choice of one."""
 
 from crowrudder_core.forecast._choice import (
     Candidate,
@@ -7,16 +7,16 @@
     choose_fitting,
 )
 from crowrudder_core.forecast._engine import EngineModel
-from crowrudder_core.forecast._life import LifeMark
+from crowrudder_core.forecast._incarnation import IncarnationTracker
 from crowrudder_core.forecast._outlook import Outlook, Work
-from crowrudder_core.forecast._paths import Holder, Path, path_from
+from crowrudder_core.forecast._pipeline import Holder, Path, path_from
 
 __all__ = (
     'Candidate',
     'Choice',
     'EngineModel',
     'Holder',
-    'LifeMark',
+    'IncarnationTracker',
     'Outlook',
     'Path',
     'Work',
--- a/packages/core/src/crowrudder_core/forecast/_choice.py
+++ b/packages/core/src/crowrudder_core/forecast/_choice.py
@@ -1,4 +1,4 @@
-"""The choice among upstreams by what each is forecast to need."""
+"""The choice among upstreams by forecast time to the first event."""
 
 from __future__ import annotations
 
@@ -6,32 +6,36 @@
 
 from attrs import frozen
 
-from crowrudder_core.forecast._outlook import CROWDED, FAILURE_COST_S
+from crowrudder_core.forecast._outlook import (
+    CROWDED_OCCUPANCY,
+    FAILURE_PENALTY_S,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator, Sequence
     from random import Random
 
     from crowrudder_core.forecast._outlook import Outlook
-    from crowrudder_core.forecast._paths import Path
+    from crowrudder_core.forecast._pipeline import Path
 
-OTHER_REGION_S = 0.06
-"""What the bytes over a region link are worth in seconds of forecast."""
+OTHER_REGION_PENALTY_S = 0.06
+"""Cost of the traffic over a link between regions, in seconds of forecast."""
 
-OTHER_DOMAIN_S = 0.02
-CROWDING_S = 0.12
-"""The preference lost by an upstream whose slots are all taken."""
+OTHER_DOMAIN_PENALTY_S = 0.02
+OCCUPANCY_PENALTY_S = 0.12
+"""Penalty of an upstream whose slots are all in use."""
 
-HOP_S = 0.03
-"""One more engine on a request's path: whole engines are preferred, as long
-as they begin by so much sooner."""
+HOP_PENALTY_S = 0.03
+"""Penalty of each further engine of a pipeline. An engine with all layers is
+preferred unless a pipeline starts earlier by more than this."""
 
-SPREAD_S = 0.02
-"""Forecasts closer than this are told apart by chance: entries with the same
-words would else all choose the same upstream until the next word."""
+JITTER_S = 0.02
+"""Forecasts that differ by less than this are ordered at random. Without it,
+entries with the same load reports would all choose the same upstream until the
+next report."""
 
 DRAWN = 4
-"""Candidates that are compared: three of the own region where it has them,
+"""Number of sampled candidates: three of the own region, if there are as many,
 and one of another."""
 
 
@@ -40,11 +44,11 @@
 
 @frozen(kw_only=True)
 class Candidate:
-    """An upstream that could be sent a request, and how far it is.
+    """An upstream that could be sent a request, and its distance.
 
-    ``weights`` is the version that the request would begin on, ``path`` the
-    engines that it would pass, the upstream the first of them; None where the
-    upstream runs all layers.
+    ``weights`` is the version that the request would start on. ``path`` is the
+    pipeline of engines that it would pass, with the upstream as the first;
+    None where the upstream runs all layers.
     """
 
     outlook: Outlook
@@ -77,27 +81,28 @@
     prompt: int,
     now: float,
     random: Random,
-    drawn: int = DRAWN,
+    sample_size: int = DRAWN,
 ) -> Choice | None:
-    """Give the best of some candidates, drawn by chance.
+    """Return the best of a random sample of candidates.
 
-    What goes wrong with the best of all: entries have the same words of the
-    same agents, up to a tenth of a second old, and all of them choose the
-    engine that looks the emptiest until the next word. Nor are all looked at
-    before a request is refused: in overload, that is the best of all again.
+    The best of all candidates isn't used: entries have the same load reports,
+    up to a tenth of a second old, so all of them would choose the engine that
+    looks least loaded until the next report. For the same reason, a request is
+    refused without checking the candidates outside the sample: under overload,
+    checking all of them would again choose the best of all.
 
     Parameters
     ----------
     prompt
         Prompt tokens of the request.
-    drawn
-        How many are drawn.
+    sample_size
+        Number of candidates to sample.
     """
     options = list(candidates)
     near = [each for each in options if not each.other_region]
     far = [each for each in options if each.other_region]
     return choose_fitting(
-        ((near, drawn - 1), (far, drawn)),
+        ((near, sample_size - 1), (far, sample_size)),
         lambda each: each,
         prompt=prompt,
         now=now,
@@ -107,58 +112,58 @@
 
 def choose_fitting(
     pools: Iterable[tuple[Sequence[_Option], int]],
-    fit: Callable[[_Option], Candidate | None],
+    to_candidate: Callable[[_Option], Candidate | None],
     *,
     prompt: int,
     now: float,
     random: Random,
 ) -> Choice | None:
-    """Give the best of some that fit, drawn by chance; see `choose`.
+    """Return the best of a random sample of eligible options; see `choose`.
 
-    Options are looked at only until enough fit: looking at all of them for
-    each request would cost an entry the more the larger the fleet is.
+    Options are checked only until enough are eligible. Checking all of them
+    for each request would make the cost per request grow with the fleet.
 
     Parameters
     ----------
     pools
-        Options, those to draw from first in front, each with how many
-        candidates are enough by the end of it.
-    fit
-        Gives the candidate that an option stands for; None where it can't
-        serve the request.
+        Options in order of preference, each pool with the number of
+        candidates that suffices once it has been sampled.
+    to_candidate
+        Returns the candidate of an option; None where it can't serve the
+        request.
     """
-    sound: list[Candidate] = []
+    healthy: list[Candidate] = []
     avoided: list[Candidate] = []
-    for options, enough in pools:
-        spare: list[Candidate] = []
-        fitting = _fitting(options, fit, random)
-        while len(sound) < enough:
-            candidate = next(fitting, None)
+    for options, target_count in pools:
+        avoided_here: list[Candidate] = []
+        eligible = _eligible_in_random_order(options, to_candidate, random)
+        while len(healthy) < target_count:
+            candidate = next(eligible, None)
             if candidate is None:
                 break
             is_avoided = candidate.outlook.is_avoided(now)
-            (spare if is_avoided else sound).append(candidate)
-        avoided += spare[: enough - len(avoided)]
-    drawn = sound or avoided
-    return _best(drawn, prompt, now, random) if drawn else None
+            (avoided_here if is_avoided else healthy).append(candidate)
+        avoided += avoided_here[: target_count - len(avoided)]
+    sampled = healthy or avoided
+    return _cheapest(sampled, prompt, now, random) if sampled else None
 
 
-def _fitting(
+def _eligible_in_random_order(
     options: Sequence[_Option],
-    fit: Callable[[_Option], Candidate | None],
+    to_candidate: Callable[[_Option], Candidate | None],
     random: Random,
 ) -> Iterator[Candidate]:
-    """Give those that fit, in an order by chance."""
+    """Yield the candidates of eligible options in random order."""
     left = list(options)
     while left:
         index = random.randrange(len(left))
         left[index], left[-1] = left[-1], left[index]
-        candidate = fit(left.pop())
+        candidate = to_candidate(left.pop())
         if candidate is not None:
             yield candidate
 
 
-def _best(
+def _cheapest(
     candidates: list[Candidate], prompt: int, now: float, random: Random
 ) -> Choice:
     best = min(candidates, key=lambda each: _cost(each, prompt, now, random))
@@ -177,20 +182,22 @@
     random: Random,
 ) -> float:
     outlook = candidate.outlook
-    crowd = max(outlook.occupancy(now) - CROWDED, 0) / (1 - CROWDED)
+    excess = max(outlook.occupancy(now) - CROWDED_OCCUPANCY, 0) / (
+        1 - CROWDED_OCCUPANCY
+    )
     return (
         outlook.first_s(prompt, now)
-        + CROWDING_S * crowd
-        + FAILURE_COST_S * outlook.failure_share
-        + OTHER_REGION_S * candidate.other_region
-        + OTHER_DOMAIN_S * candidate.other_domain
-        + _hops_s(candidate.path)
-        + random.uniform(0, SPREAD_S)
+        + OCCUPANCY_PENALTY_S * excess
+        + FAILURE_PENALTY_S * outlook.failure_share
+        + OTHER_REGION_PENALTY_S * candidate.other_region
+        + OTHER_DOMAIN_PENALTY_S * candidate.other_domain
+        + _hop_penalty_s(candidate.path)
+        + random.uniform(0, JITTER_S)
     )
 
 
-def _hops_s(path: Path | None) -> float:
+def _hop_penalty_s(path: Path | None) -> float:
     if path is None:
         return 0
     hops = len(path.parts) - 1
-    return HOP_S * hops + OTHER_REGION_S * path.crossings
+    return HOP_PENALTY_S * hops + OTHER_REGION_PENALTY_S * path.crossings
--- a/packages/core/src/crowrudder_core/forecast/_engine.py
+++ b/packages/core/src/crowrudder_core/forecast/_engine.py
@@ -1,4 +1,4 @@
-"""The arithmetic of an engine that reads and writes in passes."""
+"""Timing model of an engine that runs prefill and decoding in passes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 @frozen
 class EngineModel:
-    """Times that follow from an engine's stated figures.
+    """Times computed from an engine's declared figures.
+
+    In a method's parameters, ``writers`` is the number of requests that
+    generate tokens at the same time.
 
     Example
     -------
@@ -28,19 +31,19 @@
     figures: EngineFigures
 
     def step_s(self, writers: int) -> float:
-        """Give the time of one token for so many writers."""
+        """Return the time of one token with ``writers`` active requests."""
         figures = self.figures
         context = (figures.usual_prompt + figures.usual_answer / 2) / _THOUSAND
         each = figures.step_per_writer_s + context * figures.step_per_context_s
         return figures.step_s + writers * each
 
     def pass_s(self, writers: int) -> float:
-        """Give the time between two looks at the queue, without reading."""
+        """Return the time between two queue polls, without prefill."""
         steps = self.figures.steps_per_pass if writers else 1
         return steps * self.step_s(writers)
 
     def read_s(self, tokens: int) -> float:
-        """Give the time to read a prompt."""
+        """Return the time to prefill a prompt."""
         pairs = tokens * tokens / 2 / _MILLION
         figures = self.figures
         return (
@@ -49,15 +52,15 @@
         )
 
     def run_s(self, writers: int) -> float:
-        """Give the time that a usual request holds its slot among others.
+        """Return how long a typical request holds its slot.
 
-        Beside its own tokens it waits while the prompts of those that follow
-        each other in the other slots are read: one for each of them.
+        Besides generating its own tokens, it waits for the prefill of the
+        requests that follow one another in the other slots: one for each slot.
         """
         figures = self.figures
         writing = figures.usual_answer * self.step_s(writers)
         return writing + max(writers, 1) * self.read_s(figures.usual_prompt)
 
     def turn_s(self, writers: int) -> float:
-        """Give the time between two slots that become free, when all run."""
+        """Return the time between two freed slots under full load."""
         return self.run_s(writers) / max(self.figures.slots, 1)
--- a/packages/core/src/crowrudder_core/forecast/_paths.py
+++ b/packages/core/src/crowrudder_core/forecast/_pipeline.py
@@ -1,4 +1,4 @@
-"""Paths of a request over engines that hold parts of a version."""
+"""Pipelines of engines that each hold some layers of a version."""
 
 from __future__ import annotations
 
@@ -15,36 +15,40 @@
 
     from crowrudder_core.forecast._outlook import Outlook
 
-MOST_PARTS = 4
-"""Engines of a path; each is one more that can fail it, and a hop a token."""
+MAX_STAGES = 4
+"""Most engines of a pipeline; each adds a point of failure and a hop per
+token."""
 
 
 @frozen(kw_only=True)
 class Holder:
-    """An engine that holds some layers of a version."""
+    """An engine that holds a layer range of a version."""
 
     outlook: Outlook
     layers: LayerRange
     region: str = ''
 
-    def part(self, first: int, layers: int) -> PathPart:
-        """Give its part of a path that it takes from a layer on."""
+    def stage_from(self, first: int, layers: int) -> PathPart:
+        """Return its pipeline stage from layer ``first`` on."""
         end = min(self.layers.end, layers)
         return PathPart(self.outlook.upstream.address, LayerRange(first, end))
 
 
 @frozen(kw_only=True)
 class Path:
-    """Engines that run all layers together, each once and in order."""
+    """A pipeline: engines that run all layers, each once and in order."""
 
     holders: tuple[Holder, ...]
     parts: tuple[PathPart, ...]
 
     @property
     def crossings(self) -> int:
-        """Hops that cross from one region to another."""
+        """Number of hops between regions."""
         regions = [holder.region for holder in self.holders]
-        return sum(near != far for near, far in itertools.pairwise(regions))
+        return sum(
+            previous_region != next_region
+            for previous_region, next_region in itertools.pairwise(regions)
+        )
 
 
 def path_from(
@@ -54,11 +58,11 @@
     layers: int,
     random: Random,
 ) -> Path | None:
-    """Give a path that begins at an engine; None where layers are missing.
+    """Build a pipeline from its first engine; None where layers are missing.
 
-    All holders are of one version. Nobody else checks that a path has each
-    layer once and in order: it is built from layer to layer, so that it can't
-    have a gap or an overlap.
+    All holders must be of one version. Nothing else checks that a pipeline has
+    each layer once and in order; it is built layer range by layer range, so it
+    can't have a gap or an overlap.
 
     Parameters
     ----------
@@ -68,24 +72,24 @@
     if first.layers.first != 0 or not layers:
         return None
     chosen = [first]
-    parts = [first.part(0, layers)]
+    parts = [first.stage_from(0, layers)]
     while parts[-1].layers.end < layers:
-        at = parts[-1].layers.end
-        fit = [
+        next_layer = parts[-1].layers.end
+        eligible = [
             holder
             for holder in holders
-            if holder.layers.first <= at < holder.layers.end
+            if holder.layers.first <= next_layer < holder.layers.end
             and holder not in chosen
         ]
-        if not fit or len(chosen) == MOST_PARTS:
+        if not eligible or len(chosen) == MAX_STAGES:
             return None
-        found = min(
-            fit,
+        best = min(
+            eligible,
             key=lambda each: (
                 each.region != first.region,
                 each.outlook.own + random.random(),
             ),
         )
-        chosen.append(found)
-        parts.append(found.part(at, layers))
+        chosen.append(best)
+        parts.append(best.stage_from(next_layer, layers))
     return Path(holders=tuple(chosen), parts=tuple(parts))
--- a/tests/forecast/test_choice_by_size.py
+++ b/tests/forecast/test_choice_by_size.py
@@ -8,83 +8,87 @@
 from crowrudder_core.forecast._choice import DRAWN
 from crowrudder_model.fleet import Upstream
 
-SIZES = pytest.mark.parametrize('size', [30, 300, 2140])
+FLEET_SIZES = pytest.mark.parametrize('size', [30, 300, 2140])
 
 
-def outlooks_of(size):
+def make_outlooks(size):
     return [
         Outlook(Upstream(id=str(each), service='s', address=f'10.0.0.1:{each}'))
         for each in range(size)
     ]
 
 
-class Looks:
-    """Says which options fit, and counts the looks."""
+class CountingFilter:
+    """Returns candidates of eligible options and counts its calls."""
 
-    def __init__(self, misfits=()):
-        self.count = 0
-        self._misfits = set(misfits)
+    def __init__(self, ineligible=()):
+        self.calls = 0
+        self._ineligible = set(ineligible)
 
     def __call__(self, outlook):
-        self.count += 1
-        if outlook.upstream.id in self._misfits:
+        self.calls += 1
+        if outlook.upstream.id in self._ineligible:
             return None
         return Candidate(outlook=outlook)
 
 
-def chosen(pools, looks, seed=1):
+def choose_from(pools, fit, seed=1):
     return choose_fitting(
-        pools, looks, prompt=10, now=1.0, random=random.Random(seed)
+        pools, fit, prompt=10, now=1.0, random=random.Random(seed)
     )
 
 
 class TestLooksForOneRequest:
-    """A request cost an entry the more the more engines there were.
+    """The cost of a request must not grow with the number of engines.
 
-    Symptom: processor time of an entry doubles from 36 processes to 235 at
-    the same requests a second. Sequence: each request has every engine of its
-    service looked at, whether anything may begin there, and four of them are
-    drawn. Cause: they were drawn from those that fit.
+    Guards against a choice that checks every engine of the service for each
+    request and samples four of those that are eligible. It doubled the
+    processor time of an entry from 36 processes to 235 at the same request
+    rate.
     """
 
-    @SIZES
-    def test_they_do_not_grow_with_the_fleet(self, size):
-        looks = Looks()
-        options = outlooks_of(size)
+    @FLEET_SIZES
+    def test_number_of_checked_options_is_independent_of_fleet_size(self, size):
+        fit = CountingFilter()
+        options = make_outlooks(size)
         pools = ((options[::2], DRAWN - 1), (options[1::2], DRAWN))
-        assert chosen(pools, looks) is not None
-        assert looks.count == DRAWN
+        assert choose_from(pools, fit) is not None
+        assert fit.calls == DRAWN
 
-    def test_the_only_one_that_fits_is_found(self):
-        options = outlooks_of(300)
-        misfits = [
+    def test_the_only_eligible_option_is_found(self):
+        options = make_outlooks(300)
+        ineligible = [
             each.upstream.id for each in options if each is not options[7]
         ]
-        choice = chosen(((options, DRAWN),), Looks(misfits))
+        choice = choose_from(((options, DRAWN),), CountingFilter(ineligible))
         assert choice is not None
         assert choice.outlook is options[7]
 
-    def test_all_that_fit_are_drawn_alike(self):
-        options = outlooks_of(6)
+    def test_every_eligible_option_is_chosen_for_some_seed(self):
+        options = make_outlooks(6)
         seen = {
             choice.outlook.upstream.id
             for seed in range(200)
-            if (choice := chosen(((options, DRAWN),), Looks(), seed))
+            if (
+                choice := choose_from(
+                    ((options, DRAWN),), CountingFilter(), seed
+                )
+            )
         }
         assert len(seen) == len(options)
 
-    def test_one_that_failed_lately_is_taken_only_where_no_other_fits(self):
-        failed, sound = outlooks_of(2)
+    def test_recently_failed_upstream_is_chosen_only_as_a_last_resort(self):
+        failed, sound = make_outlooks(2)
         failed.on_bad(now=1.0, avoid=True)
-        both = chosen((([failed, sound], DRAWN),), Looks())
-        alone = chosen((([failed], DRAWN),), Looks())
+        both = choose_from((([failed, sound], DRAWN),), CountingFilter())
+        alone = choose_from((([failed], DRAWN),), CountingFilter())
         assert both is not None and both.outlook is sound
         assert alone is not None and alone.outlook is failed
 
-    def test_who_stands_in_front_is_drawn_first(self):
-        close, others = outlooks_of(DRAWN), outlooks_of(300)[DRAWN:]
+    def test_earlier_pool_is_sampled_first(self):
+        close, others = make_outlooks(DRAWN), make_outlooks(300)[DRAWN:]
         pools = ((close, DRAWN - 1), (others, DRAWN - 1))
         for seed in range(50):
-            choice = chosen(pools, Looks(), seed)
+            choice = choose_from(pools, CountingFilter(), seed)
             assert choice is not None
             assert choice.outlook in close
--- a/tests/forecast/test_measure.py
+++ b/tests/forecast/test_measure.py
@@ -1,4 +1,4 @@
-"""The model by which ways of choosing are compared is itself checked."""
+"""Tests of the simulation that compares policies of choice."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 from dispatch import CASES, FIGURES, Case, World
 
 
-def sent(engine, *, prompt=900, answer=10):
-    """Send one request and give when its first event and its end came."""
+def send_request(engine, *, prompt=900, answer=10):
+    """Send one request; return the times of its first event and its end."""
     times = []
 
-    def note():
+    def record_time():
         times.append(engine.clock.now)
 
-    engine.send(Job(prompt, answer, note, note))
+    engine.send(Job(prompt, answer, record_time, record_time))
     return times
 
 
 class TestEngine:
-    def test_an_idle_engine_reads_then_writes_in_passes(self):
+    def test_idle_engine_prefills_then_decodes_in_passes(self):
         engine = Engine(Clock(), FIGURES)
-        times = sent(engine, answer=11)
+        times = send_request(engine, answer=11)
         engine.clock.run(10)
         model = EngineModel(FIGURES)
         first_s = model.read_s(900) + model.pass_s(0)
         assert times == pytest.approx([first_s, first_s + 2 * model.pass_s(1)])
 
-    def test_a_full_engine_admits_when_a_slot_is_free(self):
+    def test_full_engine_admits_when_a_slot_is_free(self):
         engine = Engine(Clock(), FIGURES)
-        firsts = [sent(engine) for _ in range(FIGURES.slots + 1)]
+        firsts = [send_request(engine) for _ in range(FIGURES.slots + 1)]
         engine.clock.run(30)
         assert firsts[-1][0] >= firsts[0][1]
 
-    def test_a_slow_engine_takes_so_many_times_as_long(self):
+    def test_slowdown_factor_scales_all_times(self):
         usual, slow = Engine(Clock(), FIGURES), Engine(Clock(), FIGURES, pace=3)
-        times = [sent(usual), sent(slow)]
+        times = [send_request(usual), send_request(slow)]
         usual.clock.run(30)
         slow.clock.run(30)
         assert times[1] == pytest.approx([3 * each for each in times[0]])
@@ -48,14 +48,14 @@
     @pytest.mark.parametrize('case', ['usual', 'high', 'slow'])
     def test_the_forecast_is_no_worse_than_its_baselines(self, case):
         shares = {}
-        for way, policy in POLICIES.items():
+        for name, policy in POLICIES.items():
             world = World(CASES[case], policy)
             world.run()
             on_time = [first for first in world.firsts if first <= 0.45]
-            shares[way] = len(on_time) / len(world.firsts)
-        assert max(shares, key=lambda way: shares[way]) == 'forecast'
+            shares[name] = len(on_time) / len(world.firsts)
+        assert max(shares, key=lambda name: shares[name]) == 'forecast'
 
-    def test_in_a_large_fleet_the_best_of_all_is_worse(self):
+    def test_global_minimum_is_worse_than_sampling_in_a_large_fleet(self):
         shares = []
         for policy in (POLICIES['forecast'], EARLIER['best_of_all']):
             world = World(CASES['large'], policy)
@@ -64,8 +64,8 @@
             shares.append(len(on_time) / len(world.firsts))
         assert shares[0] > shares[1] + 0.03
 
-    def test_every_way_meets_the_same_arrivals(self):
-        worlds = [World(Case(load=0.5), way) for way in POLICIES.values()]
+    def test_every_policy_gets_the_same_arrivals(self):
+        worlds = [World(Case(load=0.5), policy) for policy in POLICIES.values()]
         for world in worlds:
             world.run()
         assert len({world.sent for world in worlds}) == 1
