--- a/packages/core/src/crowrudder_core/dispatch/__init__.py
+++ b/packages/core/src/crowrudder_core/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""A request that an entry sends straight to an upstream: what may be said."""
+"""Requests that an entry sends straight to an upstream, and their outcomes."""
 
 from crowrudder_core.dispatch._dispatch import (
     Answered,
@@ -14,14 +14,14 @@
     Relay,
     SendAgain,
 )
-from crowrudder_core.dispatch._events import EventCutter, EventStream
+from crowrudder_core.dispatch._events import EventSplitter, EventStream
 
 __all__ = (
     'Answered',
     'Broken',
     'Dispatch',
     'Ending',
-    'EventCutter',
+    'EventSplitter',
     'EventStream',
     'Fail',
     'Next',
--- a/packages/core/src/crowrudder_core/dispatch/_dispatch.py
+++ b/packages/core/src/crowrudder_core/dispatch/_dispatch.py
@@ -11,8 +11,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LEAST_LEFT_S = 0.03
-"""A request with less time left than a round trip and a step isn't sent."""
+MIN_TIME_LEFT_S = 0.03
+"""A request isn't sent with less time left than a round trip and a step
+take."""
 
 SERVER_ERROR = 500
 
@@ -26,7 +27,7 @@
 
 @frozen
 class NotRun:
-    """The upstream says itself that it didn't run the request, and won't."""
+    """The upstream itself reports that it didn't and won't run the request."""
 
     reason: str
     retry_after_s: float = 0
@@ -34,14 +35,14 @@
 
 @frozen
 class Broken:
-    """No whole answer came after the request was sent: it may have run."""
+    """No complete answer came after the request was sent: it may have run."""
 
     reason: str
 
 
 @frozen
 class Answered:
-    """A whole answer that the upstream vouches for."""
+    """A complete answer that the upstream vouches for."""
 
     status: int
 
@@ -56,7 +57,7 @@
 
 @frozen
 class Relay:
-    """Give the caller the upstream's own answer."""
+    """Relay the upstream's own answer to the caller."""
 
 
 @frozen
@@ -69,7 +70,7 @@
 
 @frozen
 class Fail:
-    """Tell the caller that nobody knows whether the request ran."""
+    """Tell the caller that it is unknown whether the request ran."""
 
     reason: str
 
@@ -86,11 +87,11 @@
 
 @define(kw_only=True)
 class Dispatch:
-    """What was sent of one request, and what may be said and done next.
+    """The sends of one request, and what may be sent and answered next.
 
-    Invariants: a request that may not repeat isn't sent again once it may
-    have run; no more upstreams see it than its route allows; "not run" is
-    never said of one that may have run.
+    Invariants: a request that is not repeatable isn't sent again once it may
+    have run; it is sent to at most ``most_sends`` upstreams; a request that
+    may have run is never reported as not run.
 
     Parameters
     ----------
@@ -99,43 +100,43 @@
     most_sends
         Most upstreams to which it may be sent.
     limit_at
-        When its caller gets a final answer at the latest.
+        Time by which its caller gets a final answer.
     """
 
     repeatable: bool
     most_sends: int
     limit_at: float
     sends: int = field(default=0, init=False)
-    unsettled: int = field(default=0, init=False)
-    """Sends of which nobody has said that they didn't run."""
+    unresolved_sends: int = field(default=0, init=False)
+    """Sends that no upstream has reported as not run."""
 
     tried: set[str] = field(factory=set, init=False)
 
     @property
     def may_have_run(self) -> bool:
         """Whether the request may have run at an upstream."""
-        return self.unsettled > 0
+        return self.unresolved_sends > 0
 
     def may_send(self, now: float) -> bool:
-        """Whether one more upstream may see the request."""
+        """Return whether the request may be sent to one more upstream."""
         if self.sends >= self.most_sends:
             return False
         if self.may_have_run and not self.repeatable:
             return False
-        return now + LEAST_LEFT_S < self.limit_at
+        return now + MIN_TIME_LEFT_S < self.limit_at
 
     def on_sent(self, upstream_id: str, *, now: float) -> None:
-        """Note that the request goes out now.
+        """Record that the request is sent now.
 
         Raises
         ------
         InvariantError
-            When it may not: it could run twice, or too late.
+            If it may not be sent: it could run twice, or too late.
         """
         if not self.may_send(now):
             raise InvariantError('a send that is not allowed', step='send')
         self.sends += 1
-        self.unsettled += 1
+        self.unresolved_sends += 1
         self.tried.add(upstream_id)
 
     def after(
@@ -145,7 +146,7 @@
         now: float,
         take_retry: Callable[[], bool],
     ) -> Next:
-        """Decide what follows from how an attempt ended.
+        """Decide what follows from the outcome of an attempt.
 
         ``take_retry`` spends one of the retries that all entries share.
         """
@@ -162,14 +163,14 @@
                 return self._after_answer(status, now, take_retry)
 
     def refuse(self, reason: str, retry_after_s: float = 0) -> Refuse | Fail:
-        """Give up; only what surely hasn't run is said to be so."""
+        """Give up; report as not run only a request that can't have run."""
         if self.may_have_run:
             return Fail(reason)
         return Refuse(reason, retry_after_s)
 
     def _after_not_sent(self, reason: str, now: float) -> Next:
-        """Try elsewhere: nobody has seen the request, so it costs nothing."""
-        if now + LEAST_LEFT_S < self.limit_at:
+        """Try another upstream: none has seen the request, so it is free."""
+        if now + MIN_TIME_LEFT_S < self.limit_at:
             return SendAgain()
         return self.refuse(reason)
 
@@ -180,7 +181,7 @@
         now: float,
         take_retry: Callable[[], bool],
     ) -> Next:
-        self.unsettled -= 1
+        self.unresolved_sends -= 1
         if self.may_send(now) and take_retry():
             return SendAgain()
         return self.refuse(reason, retry_after_s)
@@ -191,7 +192,7 @@
         now: float,
         take_retry: Callable[[], bool],
     ) -> Next:
-        """Pass an answer on, unless another upstream may do better."""
+        """Relay an answer, unless another upstream may give a better one."""
         if status < SERVER_ERROR or not self.repeatable:
             return Relay()
         if self.may_send(now) and take_retry():
--- a/packages/core/src/crowrudder_core/dispatch/_events.py
+++ b/packages/core/src/crowrudder_core/dispatch/_events.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into whole events, and count them."""
+"""Split a stream of server-sent events into complete events and count them."""
 
 from __future__ import annotations
 
@@ -6,39 +6,41 @@
 
 from attrs import define, field
 
-_END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
-_ID = re.compile(rb'^id:[ ]?([^\r\n]*)', re.MULTILINE)
+_EVENT_END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
+_ID_LINE = re.compile(rb'^id:[ ]?([^\r\n]*)', re.MULTILINE)
 
 
 @define
-class EventCutter:
-    r"""Give the whole events of a stream whose bytes come in any pieces.
+class EventSplitter:
+    r"""Splits a stream that arrives in arbitrary pieces into events.
 
-    An upstream may break off in the middle of an event. Passed on, its first
-    half would be joined with the event that another upstream sends next.
+    An upstream may break off in the middle of an event. If the partial event
+    were forwarded, it would be joined with the next event of another upstream.
 
     Example
     -------
-    >>> cutter = EventCutter()
-    >>> cutter.feed(b'id: 1\ndata: a\n\nid: 2')
+    >>> splitter = EventSplitter()
+    >>> splitter.feed(b'id: 1\ndata: a\n\nid: 2')
     b'id: 1\ndata: a\n\n'
-    >>> cutter.rest
+    >>> splitter.rest
     b'id: 2'
     """
 
     rest: bytes = b''
 
     def feed(self, piece: bytes) -> bytes:
-        """Take bytes; give the whole events that they complete."""
+        """Append bytes; return the events that they complete."""
         joined = self.rest + piece
-        end = max((found.end() for found in _END.finditer(joined)), default=0)
+        end = max(
+            (found.end() for found in _EVENT_END.finditer(joined)), default=0
+        )
         self.rest = joined[end:]
         return joined[:end]
 
 
 @define
 class EventStream:
-    r"""The events that a caller has got, over all attempts of its request.
+    r"""The events that a caller has received over all attempts.
 
     Example
     -------
@@ -52,33 +54,33 @@
     last_id: str = ''
     events: int = 0
     longest_pause_s: float = 0
-    _passed_at: float | None = None
-    _cutter: EventCutter = field(factory=EventCutter)
+    _forwarded_at: float | None = None
+    _splitter: EventSplitter = field(factory=EventSplitter)
 
     def begin_attempt(self) -> None:
-        """Drop the half event of the attempt before."""
-        self._cutter = EventCutter()
+        """Drop the partial event of the previous attempt."""
+        self._splitter = EventSplitter()
 
     def take(self, piece: bytes) -> bytes:
-        """Take an upstream's bytes; give what may be passed on."""
-        whole = self._cutter.feed(piece)
-        ids = _ID.findall(whole)
+        """Append an upstream's bytes; return what may be forwarded."""
+        complete = self._splitter.feed(piece)
+        ids = _ID_LINE.findall(complete)
         if ids:
             self.last_id = ids[-1].decode('ascii', errors='replace')
             self.events += len(ids)
-        return whole
+        return complete
 
     def note_passed(self, now: float) -> float:
-        """Note that events are passed on; give the pause before them, seconds.
+        """Record that events are forwarded; return the seconds since the last.
 
-        Over all attempts: what its caller waits for while a stream goes on
-        elsewhere is a pause like any other. 0 before the first event.
+        The pause counts over all attempts: a caller waits in the same way
+        while its stream is resumed elsewhere. 0 before the first event.
         """
-        before, self._passed_at = self._passed_at, now
-        pause_s = 0 if before is None else now - before
+        previous_at, self._forwarded_at = self._forwarded_at, now
+        pause_s = 0 if previous_at is None else now - previous_at
         self.longest_pause_s = max(self.longest_pause_s, pause_s)
         return pause_s
 
     def rest(self) -> bytes:
-        """Give what follows the last whole event of a stream that ended."""
-        return self._cutter.rest
+        """Return what follows the last complete event of an ended stream."""
+        return self._splitter.rest
--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -24,7 +24,7 @@
 from crowrudder_model import InvariantError
 
 
-def dispatch(*, repeatable=False, most_sends=2, limit_at=10.0):
+def make_dispatch(*, repeatable=False, most_sends=2, limit_at=10.0):
     return Dispatch(
         repeatable=repeatable, most_sends=most_sends, limit_at=limit_at
     )
@@ -35,99 +35,102 @@
 
 
 class TestOnce:
-    def test_isnt_sent_again_once_it_may_have_run(self):
-        """A notice went out twice.
+    def test_request_that_may_have_run_is_not_sent_again(self):
+        """A lost answer must not make a request run twice.
 
-        Symptom: a household gets two calls. Sequence: the upstream runs the
-        request, its answer is lost, the entry sends it to another. Cause: a
-        broken connection was taken for a request that hadn't run.
+        The upstream runs the request and its answer is lost. If the broken
+        connection counted as a request that hasn't run, the entry would send
+        it to another upstream: a notice would go out twice, and a household
+        would get two calls.
         """
-        request = dispatch()
+        request = make_dispatch()
         request.on_sent('a', now=0)
         assert isinstance(after(request, Broken('reset')), Fail)
         with pytest.raises(InvariantError):
             request.on_sent('b', now=0)
 
-    def test_goes_elsewhere_when_the_upstream_says_it_didnt_run(self):
-        request = dispatch()
+    def test_request_reported_as_not_run_is_retried_elsewhere(self):
+        request = make_dispatch()
         request.on_sent('a', now=0)
         assert isinstance(after(request, NotRun('full')), SendAgain)
         request.on_sent('b', now=0)
         assert isinstance(after(request, NotRun('full')), Refuse)
 
-    def test_goes_elsewhere_when_nothing_was_sent(self):
-        request = dispatch(most_sends=1)
+    def test_unsent_request_is_retried_elsewhere(self):
+        request = make_dispatch(most_sends=1)
         for _ in range(3):
             assert isinstance(after(request, NotSent('refused')), SendAgain)
         request.on_sent('d', now=0)
 
-    def test_is_never_said_not_to_have_run_after_it_was_sent(self):
-        request = dispatch()
+    def test_sent_request_is_never_refused_as_not_run(self):
+        request = make_dispatch()
         request.on_sent('a', now=0)
         assert isinstance(request.refuse('out of time'), Fail)
 
-    def test_a_servers_error_is_passed_on(self):
-        request = dispatch()
+    def test_server_error_is_relayed(self):
+        request = make_dispatch()
         request.on_sent('a', now=0)
         assert isinstance(after(request, Answered(500)), Relay)
 
 
 class TestRepeatable:
-    def test_a_servers_error_is_tried_elsewhere(self):
-        request = dispatch(repeatable=True)
+    def test_server_error_is_retried_elsewhere(self):
+        request = make_dispatch(repeatable=True)
         request.on_sent('a', now=0)
         assert isinstance(after(request, Answered(500)), SendAgain)
         request.on_sent('b', now=0)
         assert isinstance(after(request, Answered(500)), Relay)
 
-    def test_the_shared_budget_is_asked(self):
-        request = dispatch(repeatable=True)
+    def test_retry_budget_is_respected(self):
+        request = make_dispatch(repeatable=True)
         request.on_sent('a', now=0)
         ending = Broken('reset')
         assert isinstance(after(request, ending, has_budget=False), Fail)
 
-    def test_nothing_is_sent_shortly_before_the_limit(self):
-        request = dispatch(repeatable=True)
+    def test_nothing_is_sent_shortly_before_the_deadline(self):
+        request = make_dispatch(repeatable=True)
         assert not request.may_send(9.99)
         assert isinstance(after(request, NotSent('x'), 9.99), Refuse)
 
 
-def may_send(machine):
-    return machine.verdict is None and not machine.is_out
+def may_send_next(machine):
+    return machine.decision is None and not machine.is_in_flight
 
 
-def is_out(machine):
-    return machine.is_out
+def is_in_flight(machine):
+    return machine.is_in_flight
 
 
-def has_ended(machine):
-    return machine.verdict is not None
+def has_decision(machine):
+    return machine.decision is not None
 
 
 class DispatchMachine(RuleBasedStateMachine):
-    """Any order of endings; the books of upstreams beside the aggregate."""
-
-    @initialize(repeatable=st.booleans(), most=st.integers(1, 3))
-    def begin(self, repeatable, most):
-        self.request = dispatch(repeatable=repeatable, most_sends=most)
-        self.most = most
+    """Any order of outcomes, checked against a separate record of sends."""
+
+    @initialize(repeatable=st.booleans(), max_sends=st.integers(1, 3))
+    def begin(self, repeatable, max_sends):
+        self.request = make_dispatch(
+            repeatable=repeatable, most_sends=max_sends
+        )
+        self.max_sends = max_sends
         self.now = 0.0
         self.sends = 0
         self.may_have_run = 0
-        self.is_out = False
-        self.verdict = None
+        self.is_in_flight = False
+        self.decision = None
 
-    @precondition(may_send)
+    @precondition(may_send_next)
     @rule()
     def send(self):
         if not self.request.may_send(self.now):
-            self.verdict = self.request.refuse('no time')
+            self.decision = self.request.refuse('no time')
             return
         self.sends += 1
         self.request.on_sent(f'u{self.sends}', now=self.now)
-        self.is_out = True
+        self.is_in_flight = True
 
-    @precondition(is_out)
+    @precondition(is_in_flight)
     @rule(
         ending=st.sampled_from(
             [NotRun('full'), Broken('reset'), Answered(200), Answered(500)]
@@ -137,25 +140,25 @@
     )
     def end(self, ending, has_budget, took_s):
         self.now += took_s
-        self.is_out = False
+        self.is_in_flight = False
         if not isinstance(ending, NotRun):
             self.may_have_run += 1
-        verdict = after(self.request, ending, self.now, has_budget=has_budget)
-        self.verdict = None if isinstance(verdict, SendAgain) else verdict
+        decision = after(self.request, ending, self.now, has_budget=has_budget)
+        self.decision = None if isinstance(decision, SendAgain) else decision
 
-    @precondition(has_ended)
-    @rule(repeatable=st.booleans(), most=st.integers(1, 3))
-    def take_the_next_request(self, repeatable, most):
-        self.begin(repeatable=repeatable, most=most)
+    @precondition(has_decision)
+    @rule(repeatable=st.booleans(), max_sends=st.integers(1, 3))
+    def start_next_request(self, repeatable, max_sends):
+        self.begin(repeatable=repeatable, max_sends=max_sends)
 
     @invariant()
-    def keeps_its_promises(self):
+    def invariants_hold(self):
         if not hasattr(self, 'request'):
             return
-        assert self.sends <= self.most
+        assert self.sends <= self.max_sends
         if not self.request.repeatable:
             assert self.may_have_run <= 1
-        if isinstance(self.verdict, Refuse):
+        if isinstance(self.decision, Refuse):
             assert not self.may_have_run
 
 
