--- a/packages/core/src/crowrudder_core/routing/__init__.py
+++ b/packages/core/src/crowrudder_core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: which agent takes a request."""
+"""Routing: the choice of an agent for a request."""
 
 from crowrudder_core.routing._agent_state import AgentState
 from crowrudder_core.routing._router import Choice, Need, Router
--- a/packages/core/src/crowrudder_core/routing/_router.py
+++ b/packages/core/src/crowrudder_core/routing/_router.py
@@ -1,4 +1,4 @@
-"""Choose an agent from lagging reports and what this entry has outstanding."""
+"""Choose an agent from lagging reports and own outstanding attempts."""
 
 from __future__ import annotations
 
@@ -15,28 +15,30 @@
 
     from crowrudder_model.messages import Report, RoomReply
 
-CHOICES = 2
-BOUND = 1.18
-"""How far above the mean cost an agent may be for its cached prefixes."""
+SAMPLED_HOSTS = 2
+MAX_COST_RATIO = 1.18
+"""Greatest ratio of an agent's cost to the median at which it is chosen for
+its cached prefixes."""
 
-SURE_PART = 0.5
-"""Below this part of its slots an agent is taken without a question."""
+SURE_OCCUPANCY = 0.5
+"""Share of its slots below which an agent is chosen without asking for its
+free slots."""
 
-LEAST_PATIENCE_S = 0.5
+MIN_PATIENCE_S = 0.5
 PATIENCE_FACTOR = 5.0
 
 
 @frozen(kw_only=True)
 class Need:
-    """What a request needs of an agent."""
+    """What a request requires of an agent."""
 
     service: str
     adapter: str = ''
     version: str = ''
-    """The only version that may go on with an answer begun."""
+    """The only version that may resume an answer already begun."""
 
     prefix: str = ''
-    """The start of the prompt, where the service caches prompts."""
+    """The prompt's prefix, where the service caches prompts."""
 
     avoid: frozenset[str] = frozenset()
 
@@ -48,17 +50,18 @@
     host: str
     wait_s: float
     sure: bool = True
-    """Whether it is so empty that old reports can't be far wrong."""
+    """Whether its occupancy is so low that lagging reports can't matter
+    much."""
 
 
 @define
 class Router:
-    """The entry's knowledge of agents and the choice among them.
+    """An entry's state of the agents and the choice among them.
 
-    Work goes to the agent that has the start of the prompt in its cache, as
-    long as that one is not much fuller than the mean; otherwise to the better
-    one of two drawn at random, so that entries with the same old reports
-    don't all choose the same agent.
+    A request goes to the agent that has the prompt's prefix in its cache, as
+    long as that agent's cost isn't far above the median. Otherwise it goes to
+    the cheaper of two random agents, so that entries with the same lagging
+    reports don't all choose the same agent.
     """
 
     _random: Random
@@ -67,7 +70,7 @@
     _started: bool = field(default=False, init=False)
 
     def on_report(self, report: Report, *, now: float) -> None:
-        """Take a report; a new incarnation starts with a clean slate."""
+        """Apply a report; a new incarnation starts with empty state."""
         known = self.agents.get(report.host)
         if known is not None and known.report.incarnation == report.incarnation:
             known.on_report(report, now=now)
@@ -77,14 +80,14 @@
         self.agents[report.host] = AgentState(report=report, since=since)
 
     def on_started(self) -> None:
-        """Treat agents that come from now on as fresh ones."""
+        """Treat agents that appear from now on as new ones."""
         self._started = True
 
     def on_gone(self, host: str) -> None:
-        """Use an agent no more until it reports again.
+        """Stop using an agent until it reports again.
 
-        What is outstanding there stays counted: the stream of reports may
-        have broken alone.
+        Its outstanding attempts stay counted: the stream of reports may have
+        broken alone.
         """
         state = self.agents.get(host)
         if state is not None:
@@ -98,40 +101,40 @@
 
     def on_sent(self, host: str, incarnation: str) -> None:
         """Count an attempt that this entry has sent."""
-        state = self._same(host, incarnation)
+        state = self._same_incarnation(host, incarnation)
         if state is not None:
             state.outstanding += 1
 
     def on_ended(self, host: str, incarnation: str) -> None:
         """Count an attempt that has ended."""
-        state = self._same(host, incarnation)
+        state = self._same_incarnation(host, incarnation)
         if state is not None and state.outstanding:
             state.outstanding -= 1
 
     def on_first_piece(self, host: str, took_s: float) -> None:
-        """Take a time from permit to first piece."""
+        """Record a time from start permit to first piece."""
         state = self.agents.get(host)
         if state is not None:
             state.on_first_piece(took_s)
 
     def on_outcome(self, host: str, *, failed: bool, now: float) -> None:
-        """Take what a run on the host's upstream came to."""
+        """Record whether a run on the host's upstream failed."""
         state = self.agents.get(host)
         if state is not None:
             state.on_outcome(failed=failed, now=now)
 
     def patience_s(self, service: str) -> float:
-        """Give the wait after which a second attempt is worth its cost."""
+        """Return the wait after which a second attempt is worth its cost."""
         times = [
             state.first_piece_s
             for state in self.agents.values()
             if state.report.service == service and state.first_piece_s
         ]
-        usual_s = median(times) if times else 0.0
-        return max(LEAST_PATIENCE_S, PATIENCE_FACTOR * usual_s)
+        median_s = median(times) if times else 0.0
+        return max(MIN_PATIENCE_S, PATIENCE_FACTOR * median_s)
 
     def candidates(self, need: Need, *, now: float) -> list[str]:
-        """Give the hosts that could serve, in no order."""
+        """Return the hosts that could serve, in no particular order."""
         return [
             host
             for host, state in self.agents.items()
@@ -139,93 +142,99 @@
         ]
 
     def obstacles(self, need: Need, *, now: float) -> dict[str, str]:
-        """Say of each known host why it can't serve; empty where it can."""
+        """Return for each known host why it can't serve; empty if it can."""
         return {
             host: _obstacle(host, state, need, now)
             for host, state in sorted(self.agents.items())
         }
 
     def choose(self, need: Need, *, now: float) -> Choice | None:
-        """Choose a host; None where no one can serve."""
+        """Choose a host; None if no host can serve."""
         hosts = self.candidates(need, now=now)
         if not hosts:
             return None
-        pace_s = self._pace_s(hosts)
+        pace_s = self._median_pace_s(hosts)
         chosen = None
         if self.affinity and need.prefix:
-            chosen = self._nearest(need.prefix, hosts, pace_s, now)
+            chosen = self._affinity_host(need.prefix, hosts, pace_s, now)
         if chosen is None:
-            drawn = self._random.sample(hosts, min(CHOICES, len(hosts)))
+            sampled = self._random.sample(hosts, min(SAMPLED_HOSTS, len(hosts)))
             chosen = min(
-                drawn,
+                sampled,
                 key=lambda host: self.agents[host].cost(pace_s=pace_s, now=now),
             )
         state = self.agents[chosen]
         return Choice(
             chosen,
             state.wait_s(pace_s=pace_s),
-            sure=state.load + 1 <= SURE_PART * state.report.slots,
+            sure=state.load + 1 <= SURE_OCCUPANCY * state.report.slots,
         )
 
     def choose_by_word(
         self,
         need: Need,
-        rooms: dict[str, RoomReply],
+        replies: dict[str, RoomReply],
         *,
         first: str,
         now: float,
     ) -> Choice | None:
-        """Choose among agents that have just told their room.
+        """Choose among agents that have just replied with their free slots.
 
-        Where ``first`` has a free slot, it is taken: the start of the prompt
-        is likely to be in its cache.
+        If ``first`` has a free slot and isn't much worse than the others, it
+        is chosen: the prompt's prefix is likely to be in its cache.
         """
         hosts = set(self.candidates(need, now=now))
-        pace_s = self._pace_s(sorted(hosts))
+        pace_s = self._median_pace_s(sorted(hosts))
         service_s = median(
             [self.agents[host].report.service_s for host in hosts] or [0],
         )
         ends = {
             host: self.agents[host].end_s(
-                room,
+                reply,
                 pace_s=pace_s,
                 service_s=service_s,
                 now=now,
             )
-            for host, room in rooms.items()
-            if room.wait_s >= 0 and host in hosts
+            for host, reply in replies.items()
+            if reply.wait_s >= 0 and host in hosts
         }
         if not ends:
             return None
         best = min(ends, key=lambda host: (ends[host], host))
-        usual = median(ends.values())
-        if first in ends and not rooms[first].wait_s:
-            best = first if ends[first] <= BOUND * usual else best
-        return Choice(best, rooms[best].wait_s)
+        median_end_s = median(ends.values())
+        if first in ends and not replies[first].wait_s:
+            best = (
+                first if ends[first] <= MAX_COST_RATIO * median_end_s else best
+            )
+        return Choice(best, replies[best].wait_s)
 
     def draw(self, need: Need, count: int, *, now: float) -> list[str]:
-        """Draw hosts to be asked for their room."""
+        """Return a random sample of hosts to ask for their free slots."""
         hosts = self.candidates(need, now=now)
         return self._random.sample(hosts, min(count, len(hosts)))
 
-    def _nearest(
+    def _affinity_host(
         self,
         prefix: str,
         hosts: list[str],
         pace_s: float,
         now: float,
     ) -> str | None:
-        """Give the first host in the prefix's order that isn't too full."""
+        """Return the first host in the prefix's order below the cost bound."""
         costs = {
             host: self.agents[host].cost(pace_s=pace_s, now=now)
             for host in hosts
         }
-        usual = median(costs.values())
-        fit = [host for host in hosts if costs[host] <= BOUND * usual]
-        return max(fit, key=lambda host: (score(prefix, host), host))
+        median_cost = median(costs.values())
+        eligible = [
+            host
+            for host in hosts
+            if costs[host] <= MAX_COST_RATIO * median_cost
+        ]
+        return max(eligible, key=lambda host: (score(prefix, host), host))
 
-    def _pace_s(self, hosts: list[str]) -> float:
-        """Give the middle pace, which one slow agent doesn't move."""
+    def _median_pace_s(self, hosts: list[str]) -> float:
+        """Return the median pace, which a single slow agent doesn't shift."""
         paces = [
             self.agents[host].report.pace_s
             for host in hosts
@@ -233,7 +242,9 @@
         ]
         return median(paces) if paces else 0.0
 
-    def _same(self, host: str, incarnation: str) -> AgentState | None:
+    def _same_incarnation(
+        self, host: str, incarnation: str
+    ) -> AgentState | None:
         state = self.agents.get(host)
         if state is None or state.report.incarnation != incarnation:
             return None
@@ -241,7 +252,7 @@
 
 
 def _obstacle(host: str, state: AgentState, need: Need, now: float) -> str:
-    """Say why a host can't serve; empty where it can."""
+    """Return why a host can't serve; empty if it can."""
     report = state.report
     obstacles = (
         (host in need.avoid, 'was tried before'),
--- a/packages/core/src/crowrudder_core/routing/_subset.py
+++ b/packages/core/src/crowrudder_core/routing/_subset.py
@@ -1,4 +1,4 @@
-"""Which agents an entry talks to, so that links don't grow as their product."""
+"""The agents that each entry links to, to bound the number of links."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from crowrudder_model import ranked
 
-COVER = 3
-"""Entries that each agent of a large service reports to."""
+ENTRIES_PER_AGENT = 3
+"""Entries to which each agent of a large service reports."""
 
-SMALL_SERVICE = 24
-"""Services of so many agents or fewer are known to all entries."""
+SMALL_SERVICE_AGENTS = 24
+"""Services of at most this many agents are known to all entries."""
 
 
 def covered(
@@ -18,11 +18,12 @@
     entries: Collection[str],
     agents: Iterable[str],
 ) -> frozenset[str]:
-    """Give the agents of one service that an entry is to know.
+    """Return the agents of one service that an entry links to.
 
-    Every agent is known to `COVER` entries, the first in its rendezvous
-    order, so that all are covered evenly, each entry knows some of every
-    failure domain, and an entry that comes or goes moves only its own links.
+    Every agent is known to `ENTRIES_PER_AGENT` entries, the first in its
+    rendezvous order. So agents are spread evenly over entries, each entry
+    knows some agents of every failure domain, and an entry that joins or
+    leaves moves only its own links.
 
     Example
     -------
@@ -30,9 +31,11 @@
     ['a', 'b']
     """
     hosts = tuple(agents)
-    if len(hosts) <= SMALL_SERVICE or len(entries) <= COVER:
+    if len(hosts) <= SMALL_SERVICE_AGENTS or len(entries) <= ENTRIES_PER_AGENT:
         return frozenset(hosts)
     known = {entry, *entries}
     return frozenset(
-        host for host in hosts if entry in ranked(host, known)[:COVER]
+        host
+        for host in hosts
+        if entry in ranked(host, known)[:ENTRIES_PER_AGENT]
     )
