--- a/tests/forecast/test_choice_by_size.py
+++ b/tests/forecast/test_choice_by_size.py
@@ -38,7 +38,7 @@
     )
 
 
-class TestLooksForOneRequest:
+class TestCostPerRequest:
     """The cost of a request must not grow with the number of engines.
 
     Guards against a choice that checks every engine of the service for each
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -193,7 +193,7 @@
             assert choose_host(one, need) == choose_host(other, need)
 
 
-class TestFreshWord:
+class TestCapacityReplies:
     """Choice from capacity replies requested at the time of the choice."""
 
     def test_free_slot_is_preferred_over_the_affinity_host(self):
