--- a/packages/core/src/crowrudder_core/limits/__init__.py
+++ b/packages/core/src/crowrudder_core/limits/__init__.py
@@ -1,10 +1,10 @@
-"""Limits: rates and shares of customers, and the budgets for retries."""
+"""Limits: rates and shares of customers, upstreams' limits, retry budgets."""
 
 from crowrudder_core.limits._buckets import RetryBudget, TokenBucket
 from crowrudder_core.limits._concurrency import ConcurrencyShares
-from crowrudder_core.limits._named_limits import NamedLimits
 from crowrudder_core.limits._shared_budget import SharedRetryBudget
 from crowrudder_core.limits._shared_rate import senders_of
+from crowrudder_core.limits._stated_limits import NamedLimits
 
 __all__ = (
     'ConcurrencyShares',
--- a/packages/core/src/crowrudder_core/limits/_buckets.py
+++ b/packages/core/src/crowrudder_core/limits/_buckets.py
@@ -1,4 +1,4 @@
-"""Token bucket and retry budget, both pure in the time."""
+"""Token bucket and retry budget; the time is passed in by the caller."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @define
 class TokenBucket:
-    """Tokens that refill at a rate up to a burst.
+    """Tokens that are refilled at a rate, up to a burst.
 
     Parameters
     ----------
@@ -40,37 +40,37 @@
         return True
 
     def wait_s(self, count: float, *, now: float) -> float:
-        """Seconds until so many tokens will be there."""
+        """Return the seconds until so many tokens are available."""
         self._refill(now)
         missing = max(min(count, self.burst) - self.tokens, 0.0)
         return missing / self.rate if self.rate else float('inf')
 
     def _refill(self, now: float) -> None:
-        passed = max(now - self.at, 0.0)
-        self.tokens = min(self.burst, self.tokens + passed * self.rate)
+        elapsed_s = max(now - self.at, 0.0)
+        self.tokens = min(self.burst, self.tokens + elapsed_s * self.rate)
         self.at = max(now, self.at)
 
 
-RETRY_FLOOR = 1.0
-"""Retries that are allowed even when nothing was sent before."""
+INITIAL_RETRIES = 1.0
+"""Retries that are allowed before any first attempt was sent."""
 
-RETRY_CEILING = 10.0
+MAX_UNUSED_RETRIES = 10.0
 """Most unused retries that are kept."""
 
 
 @define
 class RetryBudget:
-    """Retries as a share of first attempts, so that failure brings no storm."""
+    """Retries as a share of first attempts, to prevent retry storms."""
 
     share: float
-    balance: float = RETRY_FLOOR
+    balance: float = INITIAL_RETRIES
 
     def on_first(self) -> None:
         """Count a first attempt."""
-        self.balance = min(self.balance + self.share, RETRY_CEILING)
+        self.balance = min(self.balance + self.share, MAX_UNUSED_RETRIES)
 
     def take(self) -> bool:
-        """Spend one retry if the budget has it."""
+        """Spend one retry; return whether the budget had one."""
         if self.balance < 1:
             return False
         self.balance -= 1
--- a/packages/core/src/crowrudder_core/limits/_concurrency.py
+++ b/packages/core/src/crowrudder_core/limits/_concurrency.py
@@ -1,4 +1,4 @@
-"""How many requests a customer may have under way in one entry."""
+"""How many requests a customer may have in progress at one entry."""
 
 from __future__ import annotations
 
@@ -6,43 +6,45 @@
 
 from attrs import define, field
 
-CROWDED = 0.8
-"""From this part of the room on, no customer may grow beyond its share."""
+CROWDED_OCCUPANCY = 0.8
+"""Share of the capacity in use from which on no customer may exceed its
+share."""
 
-LEAST_SHARE = 0.02
-"""Room that every customer has, also without a declared share."""
+MIN_SHARE = 0.02
+"""Share of the capacity that every customer has, even without a declared
+share."""
 
 
 @define
 class ConcurrencyShares:
-    """The room for requests of an entry, kept open for every customer.
+    """An entry's capacity for requests, shared among its customers.
 
     Example
     -------
-    >>> room = ConcurrencyShares(most=10)
-    >>> room.enter('large', share=0.5)
+    >>> shares = ConcurrencyShares(most=10)
+    >>> shares.enter('large', share=0.5)
     True
     """
 
     most: int
-    _inside: Counter[str] = field(factory=Counter, init=False)
+    _in_progress: Counter[str] = field(factory=Counter, init=False)
     _total: int = field(default=0, init=False)
 
     def enter(self, customer: str, *, share: float) -> bool:
-        """Count a request in; false where it has no room."""
+        """Count a request in; return whether there was capacity for it."""
         if self._total >= self.most:
             return False
-        if self._total >= CROWDED * self.most:
-            own = max(share, LEAST_SHARE) * self.most
-            if self._inside[customer] >= own:
+        if self._total >= CROWDED_OCCUPANCY * self.most:
+            guaranteed = max(share, MIN_SHARE) * self.most
+            if self._in_progress[customer] >= guaranteed:
                 return False
-        self._inside[customer] += 1
+        self._in_progress[customer] += 1
         self._total += 1
         return True
 
     def leave(self, customer: str) -> None:
         """Count a request out."""
-        self._inside[customer] -= 1
+        self._in_progress[customer] -= 1
         self._total -= 1
-        if not self._inside[customer]:
-            self._inside.pop(customer)
+        if not self._in_progress[customer]:
+            self._in_progress.pop(customer)
--- a/packages/core/src/crowrudder_core/limits/_shared_budget.py
+++ b/packages/core/src/crowrudder_core/limits/_shared_budget.py
@@ -6,11 +6,11 @@
 
 from attrs import define, field
 
-SAFETY = 0.8
-"""Part of the bound that is used.
+SAFETY_FACTOR = 0.8
+"""Share of the bound that is used.
 
-Windows slide, and an arrival is counted where it arrives, a little later than
-it was sent; entries also differ for a moment in how many of them they know.
+The windows slide, and an arrival is counted where it arrives, a little later
+than it was sent. Entries also differ briefly in how many entries they know.
 """
 
 
@@ -21,9 +21,9 @@
     firsts: deque[float] = field(factory=deque)
     repeats: deque[float] = field(factory=deque)
 
-    def forget(self, before: float) -> None:
+    def drop_before(self, cutoff: float) -> None:
         for times in (self.firsts, self.repeats):
-            while times and times[0] < before:
+            while times and times[0] < cutoff:
                 times.popleft()
 
 
@@ -31,17 +31,17 @@
 class SharedRetryBudget:
     """Arrivals beyond the first of each request, by service and window.
 
-    Each entry takes its part: the share of its own requests, which add up to
-    the share of all, and an equal part of the fixed number. What goes wrong
-    without it: a service that fails is sent everything twice by every entry,
-    and fails the more.
+    Each entry may use its share: a ratio of its own requests, which add up to
+    all requests, and an equal part of the fixed number. Without such a budget,
+    every entry would send each request to a failing service twice, and the
+    added load would make it fail more.
 
     Parameters
     ----------
     share
         Arrivals beyond the first as a share of the requests.
     extra
-        Further ones in a window, of all entries together.
+        Further arrivals per window, of all entries together.
     window_s
         Length of the sliding window.
     """
@@ -56,9 +56,9 @@
         self._window(service, now).firsts.append(now)
 
     def take(self, service: str, *, part: float, now: float) -> bool:
-        """Spend one further arrival if this entry's part has it.
+        """Spend one further arrival; return whether this entry's share had it.
 
-        ``part`` is this entry's part of what all entries may do, 0 to 1.
+        ``part`` is this entry's share of what all entries may do, 0 to 1.
         """
         if not self.has(service, part=part, now=now):
             return False
@@ -66,12 +66,12 @@
         return True
 
     def has(self, service: str, *, part: float, now: float) -> bool:
-        """Whether one further arrival could be spent."""
+        """Return whether one further arrival could be spent."""
         window = self._window(service, now)
         allowed = self.share * len(window.firsts) + self.extra * part
-        return len(window.repeats) + 1 <= SAFETY * allowed
+        return len(window.repeats) + 1 <= SAFETY_FACTOR * allowed
 
     def _window(self, service: str, now: float) -> _Window:
         window = self._windows.setdefault(service, _Window())
-        window.forget(now - self.window_s)
+        window.drop_before(now - self.window_s)
         return window
--- a/packages/core/src/crowrudder_core/limits/_stated_limits.py
+++ b/packages/core/src/crowrudder_core/limits/_stated_limits.py
@@ -1,4 +1,4 @@
-"""The limits that upstreams name in their answers."""
+"""The limits that upstreams state in their answers."""
 
 from __future__ import annotations
 
@@ -15,128 +15,136 @@
 
 NO_LIMIT = -1.0
 
-RENEW_S = 2.0
-"""A word that is newer by so much is passed on though it says the same: the
-entries that get no answers themselves would else forget the limit."""
+REPEAT_INTERVAL_S = 2.0
+"""A report that is newer by this much is sent on even if the limit is
+unchanged. Otherwise entries that get no answers themselves would drop the
+limit."""
 
-CHANGED = 0.1
-"""Part by which a limit has to change before others are told at once."""
+CHANGE_RATIO = 0.1
+"""Relative change of a limit from which on other entries are notified without
+waiting for the repeat interval."""
 
-TOLD_EVERY_S = 0.3
-"""Least time between two words on one upstream, which may name another limit
-in each answer."""
+MIN_SEND_INTERVAL_S = 0.3
+"""Least time between two reports on one upstream, which may state another
+limit in each answer."""
 
-MOST_LIMITS = 1024
-"""Upstreams whose limits are remembered."""
+MAX_LIMITS = 1024
+"""Most upstreams whose limits are kept."""
 
-MOST_ID_CHARS = 64
+MAX_ID_CHARS = 64
 _MS = 1000
 
 
-class PartOf(Protocol):
-    """Gives an entry's part of the rate of an upstream, 0 to 1."""
+class EntryShare(Protocol):
+    """Returns this entry's share of an upstream's rate, 0 to 1."""
 
     def __call__(self, upstream_id: str, per_s: float) -> float:
-        """Work it out."""
+        """Compute the share."""
 
 
 @define
-class _Said:
+class _KnownLimit:
     rate: SharedRate
-    told_at: float = -math.inf
-    told_per_s: float = NO_LIMIT
+    sent_at: float = -math.inf
+    sent_per_s: float = NO_LIMIT
 
 
 @define
 class NamedLimits:
-    """What upstreams said of their limits, to this entry or to others.
+    """The limits that upstreams stated to this entry or to others.
 
     Parameters
     ----------
-    part_of
-        Gives this entry's part of an upstream's rate.
+    entry_share
+        Returns this entry's share of an upstream's rate.
     """
 
-    _part_of: PartOf
-    _said: dict[str, _Said] = field(factory=dict)
+    _entry_share: EntryShare
+    _limits: dict[str, _KnownLimit] = field(factory=dict)
 
     def on_answer(
         self, upstream_id: str, per_s: float | None, *, now: float
     ) -> LimitWord | None:
-        """Take what an answer says; give what others are to be told."""
-        if per_s is None and upstream_id not in self._said:
+        """Apply an answer's limit; return the report for other entries."""
+        if per_s is None and upstream_id not in self._limits:
             return None
-        word = LimitWord(upstream_id, NO_LIMIT if per_s is None else per_s, 0)
-        return self.on_word(word, now=now)
+        report = LimitWord(upstream_id, NO_LIMIT if per_s is None else per_s, 0)
+        return self.on_word(report, now=now)
 
-    def on_word(self, word: LimitWord, *, now: float) -> LimitWord | None:
-        """Take another entry's word; give it back if it is to be passed on."""
-        if not math.isfinite(word.per_s) or word.age_ms < 0:
+    def on_word(self, report: LimitWord, *, now: float) -> LimitWord | None:
+        """Apply another entry's report; return it if it is to be sent on."""
+        if not math.isfinite(report.per_s) or report.age_ms < 0:
             return None
-        upstream_id = word.upstream_id[:MOST_ID_CHARS]
-        said = self._said.get(upstream_id)
-        said_at = now - word.age_ms / _MS
-        if said is not None and said_at <= said.rate.said_at:
+        upstream_id = report.upstream_id[:MAX_ID_CHARS]
+        known = self._limits.get(upstream_id)
+        stated_at = now - report.age_ms / _MS
+        if known is not None and stated_at <= known.rate.stated_at:
             return None
-        if said is None:
-            if word.per_s < 0 or not self._has_place(now):
+        if known is None:
+            if report.per_s < 0 or not self._has_capacity(now):
                 return None
-            said = _Said(SharedRate(per_s=word.per_s, said_at=said_at))
-            self._said[upstream_id] = said
-        said.rate.per_s, said.rate.said_at = word.per_s, said_at
-        return word if self._is_news(said, now) else None
+            known = _KnownLimit(
+                SharedRate(per_s=report.per_s, stated_at=stated_at)
+            )
+            self._limits[upstream_id] = known
+        known.rate.per_s, known.rate.stated_at = report.per_s, stated_at
+        return report if self._should_send(known, now) else None
 
     def has_room(self, upstream_id: str, *, now: float) -> bool:
-        """Whether a request may be sent to an upstream now."""
+        """Return whether a request may be sent to an upstream now."""
         rate = self._rate(upstream_id, now)
         return rate is None or rate.has_room(now=now)
 
     def take(self, upstream_id: str, *, now: float) -> bool:
-        """Spend a request, if there is a limit and it allows one."""
+        """Spend a request; return whether the limit, if any, allows it."""
         rate = self._rate(upstream_id, now)
         return rate is None or rate.take(now=now)
 
     def wait_s(self, upstream_ids: Iterable[str], *, now: float) -> float:
-        """Give the seconds until one of some upstreams has room.
+        """Return the seconds until one of some upstreams accepts a request.
 
-        Infinite where none of them has a limit that is in the way.
+        Infinite where none of them has a limit that delays requests.
         """
         rates = [self._rate(upstream_id, now) for upstream_id in upstream_ids]
         waits = [rate.wait_s(now=now) for rate in rates if rate is not None]
         return min((wait for wait in waits if wait > 0), default=math.inf)
 
     def on_gone(self, upstream_id: str) -> None:
-        """Forget an upstream whose life has ended."""
-        self._said.pop(upstream_id, None)
-
-    def _has_place(self, now: float) -> bool:
-        """Whether one more limit can be remembered."""
-        if len(self._said) >= MOST_LIMITS:
-            self._said = {
-                upstream_id: said
-                for upstream_id, said in self._said.items()
-                if said.rate.per_s >= 0 and not said.rate.is_over(now)
+        """Remove an upstream whose incarnation has ended."""
+        self._limits.pop(upstream_id, None)
+
+    def _has_capacity(self, now: float) -> bool:
+        """Return whether one more limit can be kept."""
+        if len(self._limits) >= MAX_LIMITS:
+            self._limits = {
+                upstream_id: known
+                for upstream_id, known in self._limits.items()
+                if known.rate.per_s >= 0 and not known.rate.is_expired(now)
             }
-        return len(self._said) < MOST_LIMITS
+        return len(self._limits) < MAX_LIMITS
 
     def _rate(self, upstream_id: str, now: float) -> SharedRate | None:
-        said = self._said.get(upstream_id)
-        if said is None or said.rate.per_s < 0:
+        known = self._limits.get(upstream_id)
+        if known is None or known.rate.per_s < 0:
             return None
-        if said.rate.is_over(now):
-            del self._said[upstream_id]
+        if known.rate.is_expired(now):
+            del self._limits[upstream_id]
             return None
-        part = self._part_of(upstream_id, said.rate.per_s)
-        said.rate.set_part(part, now=now)
-        return said.rate
-
-    def _is_news(self, said: _Said, now: float) -> bool:
-        """Whether others are to be told, and note that they are."""
-        since_s = now - said.told_at
-        before, per_s = said.told_per_s, said.rate.per_s
-        is_other = (before < 0) != (per_s < 0)
-        is_other |= abs(per_s - before) > CHANGED * max(abs(before), CHANGED)
-        if since_s < (TOLD_EVERY_S if is_other else RENEW_S):
+        share = self._entry_share(upstream_id, known.rate.per_s)
+        known.rate.set_share(share, now=now)
+        return known.rate
+
+    def _should_send(self, known: _KnownLimit, now: float) -> bool:
+        """Return whether to notify other entries; record it if so."""
+        since_s = now - known.sent_at
+        before, per_s = known.sent_per_s, known.rate.per_s
+        has_changed = (before < 0) != (per_s < 0)
+        has_changed |= abs(per_s - before) > CHANGE_RATIO * max(
+            abs(before), CHANGE_RATIO
+        )
+        if since_s < (
+            MIN_SEND_INTERVAL_S if has_changed else REPEAT_INTERVAL_S
+        ):
             return False
-        said.told_at, said.told_per_s = now, per_s
+        known.sent_at, known.sent_per_s = now, per_s
         return True
--- a/tests/limits/test_shared_budget.py
+++ b/tests/limits/test_shared_budget.py
@@ -10,7 +10,7 @@
 WINDOW_S = 10.0
 
 
-def budget():
+def make_budget():
     return SharedRetryBudget(share=SHARE, extra=EXTRA, window_s=WINDOW_S)
 
 
@@ -21,8 +21,8 @@
             max_size=300,
         ),
     )
-    def test_three_entries_never_pass_the_bound_in_any_window(self, events):
-        entries = [budget() for _ in range(3)]
+    def test_three_entries_never_exceed_the_bound_in_any_window(self, events):
+        entries = [make_budget() for _ in range(3)]
         now = 0.0
         firsts, repeats = [], []
         for number, is_first, pause_s in events:
@@ -33,23 +33,23 @@
             elif entries[number].take('s', part=1 / 3, now=now):
                 repeats.append(now)
                 since = now - WINDOW_S
-                asked = sum(at >= since for at in firsts)
-                sent = sum(at >= since for at in repeats)
-                assert sent <= SHARE * asked + EXTRA
+                requests = sum(at >= since for at in firsts)
+                repeated = sum(at >= since for at in repeats)
+                assert repeated <= SHARE * requests + EXTRA
 
-    def test_asking_spends_nothing(self):
+    def test_checking_spends_nothing(self):
         one = SharedRetryBudget(share=0, extra=2, window_s=WINDOW_S)
         assert one.has('a', part=1, now=0)
         assert one.take('a', part=1, now=0)
         assert not one.has('a', part=1, now=0)
 
-    def test_services_have_budgets_of_their_own(self):
+    def test_each_service_has_its_own_budget(self):
         one = SharedRetryBudget(share=0, extra=2, window_s=WINDOW_S)
         assert one.take('a', part=1, now=0)
         assert not one.take('a', part=1, now=0)
         assert one.take('b', part=1, now=0)
 
-    def test_what_is_older_than_the_window_is_forgotten(self):
+    def test_arrivals_older_than_the_window_expire(self):
         one = SharedRetryBudget(share=0, extra=2, window_s=WINDOW_S)
         assert one.take('a', part=1, now=0)
         assert not one.take('a', part=1, now=9)
