--- a/packages/core/src/crowrudder_core/orders/__init__.py
+++ b/packages/core/src/crowrudder_core/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines: numbers that only rise, answers read back."""
+"""Orders to engines: fencing numbers that only rise, state read back."""
 
 from crowrudder_core.orders._fencing import FencingNumber
 from crowrudder_core.orders._orders import (
--- a/packages/core/src/crowrudder_core/orders/_orders.py
+++ b/packages/core/src/crowrudder_core/orders/_orders.py
@@ -1,4 +1,4 @@
-"""The aggregate that decides which orders an engine may be given."""
+"""The aggregate that decides which orders an engine may be sent."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @frozen(kw_only=True)
 class Target:
-    """What the configuration in force wants an engine to answer with."""
+    """What an engine should serve by the configuration in force."""
 
     generation: int
     digest: str
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class EngineRead:
-    """What an engine said of itself."""
+    """The state that an engine reported."""
 
     model: str
     version: str
@@ -30,33 +30,33 @@
 
 @frozen
 class Loaded:
-    """The engine answers with the target already."""
+    """The engine already serves the target."""
 
 
 @frozen(kw_only=True)
 class Outdated:
-    """The engine has taken orders of a newer configuration than ours."""
+    """The engine has accepted orders of a newer configuration than ours."""
 
     generation: int
 
 
 @frozen(kw_only=True)
 class GiveOrder:
-    """Order the target, with this fencing number."""
+    """Order the target with this fencing number."""
 
     fence: int
 
 
 @define
 class EngineOrders:
-    """Decide on orders from what the engine says; nothing is stored.
-
-    What goes wrong without it: an agent is frozen, its host gets a new agent
-    and a newer version; the old agent wakes up and orders the version that it
-    still believes in. It would be seen as replicas that go back a version. The
-    number is read back from the engine and raised, but never above the share
-    that the agent's own configuration has: an agent that finds a newer
-    configuration's number gives no order at all.
+    """Decide on orders from the engine's state; nothing is stored.
+
+    This guards against an outdated agent: it is paused while its host gets a
+    new agent and a newer version, then resumes and orders the version that it
+    still considers current. The replica would go back to the earlier version.
+    The number is read back from the engine and raised, but never above the
+    range of the agent's own configuration: an agent that reads a newer
+    configuration's number sends no order at all.
     """
 
     seen: FencingNumber = field(factory=FencingNumber)
@@ -81,7 +81,7 @@
 
     @staticmethod
     def confirms(read: EngineRead, target: Target) -> bool:
-        """Tell whether the state read after an order shows the target."""
+        """Return whether the state read after an order shows the target."""
         return _is_loaded(read, target)
 
 
--- a/tests/orders/test_orderer.py
+++ b/tests/orders/test_orderer.py
@@ -68,8 +68,10 @@
     await orderer.load(wanted, STAGED)
 
 
-async def late_order(client: EngineClient, fence: int, version: str) -> int:
-    """Send what an agent had decided before it was frozen."""
+async def send_late_order(
+    client: EngineClient, fence: int, version: str
+) -> int:
+    """Send the order that an agent had decided before it was paused."""
     await client.put_chunk(version, 0, CHUNK)
     answer = await client.order(
         {
@@ -88,19 +90,19 @@
 
 
 class TestTwoAgents:
-    """An agent is frozen; its host's next agent loads a newer version.
+    """An agent is paused; its host's next agent loads a newer version.
 
-    Symptom: the replica goes back a version when the old one wakes up.
+    The old agent must not set the replica back a version when it resumes.
     """
 
-    def test_engine_that_checks_keeps_the_newer_version(self) -> None:
+    def test_engine_that_checks_fences_keeps_the_newer_version(self) -> None:
         async def scenario() -> None:
             async with engine('checked') as (standin, client):
                 old, new = EngineOrderer(client), EngineOrderer(client)
                 await load(old, client, target(5, 'v1'))
-                frozen_at = standin.fence + 1
+                paused_fence = standin.fence + 1
                 await load(new, client, target(6, 'v2'))
-                assert await late_order(client, frozen_at, 'v1') == 409
+                assert await send_late_order(client, paused_fence, 'v1') == 409
                 with pytest.raises(OutdatedError):
                     await old.load(target(5, 'v1'), STAGED)
                 assert standin.shown['version'] == 'v2'
@@ -111,7 +113,7 @@
 
         run(scenario())
 
-    def test_next_agent_that_stored_nothing_gives_a_higher_number(
+    def test_stateless_next_agent_uses_a_higher_fence(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -126,16 +128,16 @@
 
         run(scenario())
 
-    def test_engine_that_ignores_numbers_answers_nobody_wrongly(self) -> None:
-        """The old order goes through; no answer of its version gets out."""
+    def test_engine_that_ignores_fences_gives_no_wrong_answer(self) -> None:
+        """The old order is accepted; no answer of its version is returned."""
 
         async def scenario() -> None:
             async with engine('ignored') as (standin, client):
                 new = EngineOrderer(client)
                 await load(new, client, target(6, 'v2'))
-                assert await late_order(client, 1, 'v1') == 200
+                assert await send_late_order(client, 1, 'v1') == 200
                 assert standin.shown['version'] == 'v1'
-                final = await last_of(client, 'v2')
+                final = await run_and_get_final(client, 'v2')
                 assert final.outcome is Outcome.NOT_RUN
                 await new.until_changed(target(6, 'v2'))
                 await load(new, client, target(6, 'v2'))
@@ -145,7 +147,7 @@
 
 
 class TestReadBack:
-    def test_engine_that_lies_in_the_answer_to_an_order_is_found_out(
+    def test_false_answer_to_an_order_is_detected(
         self,
     ) -> None:
         async def scenario() -> None:
@@ -156,7 +158,7 @@
 
         run(scenario())
 
-    def test_engine_that_lies_for_good_is_stopped_at_its_first_token(
+    def test_engine_with_false_state_is_stopped_at_its_first_token(
         self,
     ) -> None:
         """The state shows the new version, the weights are the old ones."""
@@ -170,14 +172,14 @@
                 work = asyncio.ensure_future(standin.run())
                 try:
                     with pytest.raises(CrossedAnswerError):
-                        await last_of(client, 'v2')
+                        await run_and_get_final(client, 'v2')
                 finally:
                     work.cancel()
 
         run(scenario())
 
 
-async def last_of(client: EngineClient, version: str) -> Final:
+async def run_and_get_final(client: EngineClient, version: str) -> Final:
     attempt = Attempt(
         key=AttemptKey(request_id='r', attempt=1, entry='life'),
         priority=5,
