--- a/packages/core/src/crowrudder_core/forecast/_choice.py
+++ b/packages/core/src/crowrudder_core/forecast/_choice.py
@@ -127,7 +127,7 @@
     ----------
     pools
         Options in order of preference, each pool with the number of
-        candidates that suffices once it has been sampled.
+        candidates after which no more of its options are checked.
     to_candidate
         Returns the candidate of an option; None where it can't serve the
         request.
@@ -154,11 +154,11 @@
     random: Random,
 ) -> Iterator[Candidate]:
     """Yield the candidates of eligible options in random order."""
-    left = list(options)
-    while left:
-        index = random.randrange(len(left))
-        left[index], left[-1] = left[-1], left[index]
-        candidate = to_candidate(left.pop())
+    remaining = list(options)
+    while remaining:
+        index = random.randrange(len(remaining))
+        remaining[index], remaining[-1] = remaining[-1], remaining[index]
+        candidate = to_candidate(remaining.pop())
         if candidate is not None:
             yield candidate
 
--- a/packages/core/src/crowrudder_core/limits/_stated_limits.py
+++ b/packages/core/src/crowrudder_core/limits/_stated_limits.py
@@ -81,7 +81,7 @@
         if known is not None and stated_at <= known.rate.stated_at:
             return None
         if known is None:
-            if report.per_s < 0 or not self._has_capacity(now):
+            if report.per_s < 0 or not self._can_store_limit(now):
                 return None
             known = _KnownLimit(
                 SharedRate(per_s=report.per_s, stated_at=stated_at)
@@ -113,7 +113,7 @@
         """Remove an upstream whose incarnation has ended."""
         self._limits.pop(upstream_id, None)
 
-    def _has_capacity(self, now: float) -> bool:
+    def _can_store_limit(self, now: float) -> bool:
         """Return whether one more limit can be kept."""
         if len(self._limits) >= MAX_LIMITS:
             self._limits = {
--- a/tests/forecast/test_choice_by_size.py
+++ b/tests/forecast/test_choice_by_size.py
@@ -32,9 +32,9 @@
         return Candidate(outlook=outlook)
 
 
-def choose_from(pools, fit, seed=1):
+def choose_from(pools, to_candidate, seed=1):
     return choose_fitting(
-        pools, fit, prompt=10, now=1.0, random=random.Random(seed)
+        pools, to_candidate, prompt=10, now=1.0, random=random.Random(seed)
     )
 
 
@@ -42,18 +42,17 @@
     """The cost of a request must not grow with the number of engines.
 
     Guards against a choice that checks every engine of the service for each
-    request and samples four of those that are eligible. It doubled the
-    processor time of an entry from 36 processes to 235 at the same request
-    rate.
+    request and samples four of those that are eligible. With it, the processor
+    time of an entry doubled from 36 processes to 235 at the same request rate.
     """
 
     @FLEET_SIZES
     def test_number_of_checked_options_is_independent_of_fleet_size(self, size):
-        fit = CountingFilter()
+        to_candidate = CountingFilter()
         options = make_outlooks(size)
         pools = ((options[::2], DRAWN - 1), (options[1::2], DRAWN))
-        assert choose_from(pools, fit) is not None
-        assert fit.calls == DRAWN
+        assert choose_from(pools, to_candidate) is not None
+        assert to_candidate.calls == DRAWN
 
     def test_the_only_eligible_option_is_found(self):
         options = make_outlooks(300)
