--- a/packages/core/src/crowrudder_core/orders/_orders.py
+++ b/packages/core/src/crowrudder_core/orders/_orders.py
@@ -75,7 +75,7 @@
             return Loaded()
         number = max(first, self.seen).raised()
         if number.configuration != first.configuration or number < self.seen:
-            raise InvariantError('a fencing number went back', step='order')
+            raise InvariantError('a fencing number decreased', step='order')
         self.seen = number
         return GiveOrder(fence=number.packed)
 
