--- a/tests/forecast/test_paths.py
+++ b/tests/forecast/test_paths.py
@@ -1,4 +1,4 @@
-"""Paths over engines that hold parts of a version."""
+"""Pipelines of engines that each hold some layers of a version."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 LAYERS = 16
 
 
-def holder(number, first, end, region='r'):
+def make_holder(number, first, end, region='r'):
     upstream = Upstream(id=f'i{number}', service='s', address=f'a{number}:1')
     return Holder(
         outlook=Outlook(upstream),
@@ -23,13 +23,13 @@
     )
 
 
-def path_of(*holders, layers=LAYERS):
+def build_pipeline_of(*holders, layers=LAYERS):
     return path_from(
         holders[0], holders, layers=layers, random=random.Random(1)
     )
 
 
-def word(**more):
+def load_report(**more):
     return EngineLoad(
         address='a:1',
         reachable=True,
@@ -38,85 +38,97 @@
 
 
 class TestPath:
-    def test_thirds_make_a_path_in_order(self):
-        path = path_of(holder(0, 0, 5), holder(1, 10, 16), holder(2, 5, 10))
-        assert path is not None
-        assert [str(part.address) for part in path.parts] == [
+    def test_thirds_form_a_pipeline_in_layer_order(self):
+        pipeline = build_pipeline_of(
+            make_holder(0, 0, 5), make_holder(1, 10, 16), make_holder(2, 5, 10)
+        )
+        assert pipeline is not None
+        assert [str(part.address) for part in pipeline.parts] == [
             'a0:1',
             'a2:1',
             'a1:1',
         ]
-        assert path.crossings == 0
-
-    def test_a_missing_layer_gives_no_path(self):
-        assert path_of(holder(0, 0, 5), holder(1, 6, 16)) is None
-        assert path_of(holder(0, 1, 5), holder(1, 5, 16)) is None
-        assert path_of(holder(0, 0, 5)) is None
-        assert path_of(holder(0, 0, 5), layers=0) is None
+        assert pipeline.crossings == 0
 
-    def test_the_own_region_goes_before_others(self):
-        path = path_of(
-            holder(0, 0, 8), holder(1, 8, 16, region='far'), holder(2, 8, 16)
+    def test_missing_layer_gives_no_pipeline(self):
+        assert (
+            build_pipeline_of(make_holder(0, 0, 5), make_holder(1, 6, 16))
+            is None
+        )
+        assert (
+            build_pipeline_of(make_holder(0, 1, 5), make_holder(1, 5, 16))
+            is None
         )
-        assert path is not None
-        assert path.parts[1].address == 'a2:1'
+        assert build_pipeline_of(make_holder(0, 0, 5)) is None
+        assert build_pipeline_of(make_holder(0, 0, 5), layers=0) is None
+
+    def test_stages_in_the_first_engines_region_are_preferred(self):
+        pipeline = build_pipeline_of(
+            make_holder(0, 0, 8),
+            make_holder(1, 8, 16, region='far'),
+            make_holder(2, 8, 16),
+        )
+        assert pipeline is not None
+        assert pipeline.parts[1].address == 'a2:1'
 
     @given(
         st.lists(st.tuples(st.integers(0, 15), st.integers(1, 16)), max_size=12)
     )
-    def test_a_path_has_each_layer_once_and_in_order(self, ranges):
-        """A gap or an overlap would make tokens of half a model.
+    def test_pipeline_has_each_layer_once_and_in_order(self, ranges):
+        """A gap or an overlap would run only some layers, or run some twice.
 
-        Symptom: answers that are no language. Sequence: engines hold ranges
-        that overlap, as some hosts worked out their parts by another list.
-        Cause: nobody but the sender checks a path.
+        Engines may hold overlapping ranges, as some hosts computed theirs from
+        another list, and only the sender checks a pipeline. The symptom would
+        be answers of meaningless text.
         """
         holders = [
-            holder(number, first, end)
+            make_holder(number, first, end)
             for number, (first, end) in enumerate([(0, 5), *ranges])
         ]
-        path = path_of(*holders)
-        if path is None:
+        pipeline = build_pipeline_of(*holders)
+        if pipeline is None:
             return
-        run = [
+        layer_order = [
             layer
-            for part in path.parts
+            for part in pipeline.parts
             for layer in range(part.layers.first, part.layers.end)
         ]
-        assert run == list(range(LAYERS))
-        assert len({part.address for part in path.parts}) == len(path.parts)
-        for part, found in zip(path.parts, path.holders, strict=True):
+        assert layer_order == list(range(LAYERS))
+        assert len({part.address for part in pipeline.parts}) == len(
+            pipeline.parts
+        )
+        for part, found in zip(pipeline.parts, pipeline.holders, strict=True):
             assert found.layers.covers(part.layers)
             assert part.layers
 
 
 class TestPart:
-    def outlook(self):
+    def make_outlook(self):
         figures = EngineFigures(slots=4, step_s=0.01, layers=LAYERS)
-        made = Outlook(Upstream(id='i', service='s', address='a:1'))
-        made.on_figures(figures)
-        return made
+        result = Outlook(Upstream(id='i', service='s', address='a:1'))
+        result.on_figures(figures)
+        return result
 
-    def test_a_young_word_tells_a_part_and_no_whole_version(self):
-        one = self.outlook()
-        one.on_load(word(), now=1)
+    def test_fresh_load_report_gives_a_partial_version_only(self):
+        one = self.make_outlook()
+        one.on_load(load_report(), now=1)
         assert one.part(1.2) == (2, LayerRange(0, 5))
         assert one.weights(1.2) == 0
 
-    def test_an_older_word_or_one_of_a_change_tells_none(self):
-        """A token was made by two versions.
+    def test_older_or_changing_load_report_gives_no_partial_version(self):
+        """A token must not be computed by two versions.
 
-        Symptom: an answer of mixed weights. Sequence: an engine gives its part
-        of version 2 up for version 3, an entry goes by a word from before.
-        Cause: a word on a part was believed for as long as one on load.
+        An engine drops its layers of version 2 for version 3 while an entry
+        uses an earlier load report, which gives an answer of mixed weights. A
+        report on a partial version must expire sooner than one on load.
         """
-        one = self.outlook()
-        one.on_load(word(), now=1)
+        one = self.make_outlook()
+        one.on_load(load_report(), now=1)
         assert one.part(1.6) is None
-        one.on_load(word(is_changing=True), now=2)
+        one.on_load(load_report(is_changing=True), now=2)
         assert one.part(2) is None
 
-    def test_a_record_of_some_layers_is_no_whole_version(self):
+    def test_record_of_some_layers_is_not_a_complete_version(self):
         upstream = Upstream(
             id='i',
             service='s',
@@ -124,6 +136,6 @@
             weights=2,
             layers=LayerRange(0, 5),
         )
-        one = self.outlook()
+        one = self.make_outlook()
         one.on_record(upstream, now=1)
         assert one.weights(1) == 0
