--- a/packages/core/src/crowrudder_core/requests/__init__.py
+++ b/packages/core/src/crowrudder_core/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: who may start an attempt, and what an agent remembers of it."""
+"""Requests: admission, at-most-once start and claims of request ids."""
 
 from crowrudder_core.requests._admission import (
     Late,
@@ -12,7 +12,6 @@
     ClaimCount,
     Vote,
 )
-from crowrudder_core.requests._homes import Place, homes_of, quorum
 from crowrudder_core.requests._ledger import AgentLedger, Record, Stage
 from crowrudder_core.requests._owner import (
     Attach,
@@ -21,6 +20,7 @@
     Settle,
 )
 from crowrudder_core.requests._queue import AdmissionQueue, Waiting
+from crowrudder_core.requests._voters import Place, homes_of, quorum
 
 __all__ = (
     'AdmissionQueue',
--- a/packages/core/src/crowrudder_core/requests/_admission.py
+++ b/packages/core/src/crowrudder_core/requests/_admission.py
@@ -1,4 +1,4 @@
-"""Who gets a slot of the upstream next, and who can't be served in time."""
+"""Admission of attempts to the slots of an upstream, by share and deadline."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from crowrudder_core.requests._queue import AdmissionQueue, Waiting
 from crowrudder_model.messages import AttemptKey
 
-MEAN_WEIGHT = 0.1
-RUN_MARGIN = 1.1
-"""A run begins only where so many times its usual duration is left."""
+SMOOTHING_FACTOR = 0.1
+RUN_MARGIN_FACTOR = 1.1
+"""A run starts only if the time left is this multiple of its estimated duration."""
 
 
 @define
 class RunEstimate:
-    """Running means over the attempts that the upstream has run, in seconds.
+    """Moving averages over the attempts that the upstream has run, in seconds.
 
     Example
     -------
@@ -27,19 +27,22 @@
     """
 
     service_s: float = field(default=0, init=False)
-    """Time that one attempt holds a slot."""
+    """Mean time for which an attempt occupies a slot."""
 
     pace_s: float = field(default=0, init=False)
-    """Time for one piece of an answer."""
+    """Mean time per piece of an answer."""
 
-    def on_ended(self, took_s: float, *, pieces: int) -> None:
-        """Take the duration of a run."""
-        self.service_s = _mean(self.service_s, took_s)
+    def on_ended(self, duration_s: float, *, pieces: int) -> None:
+        """Update the averages with the duration of a run."""
+        self.service_s = _moving_average(self.service_s, duration_s)
         if pieces:
-            self.pace_s = _mean(self.pace_s, took_s / pieces)
+            self.pace_s = _moving_average(self.pace_s, duration_s / pieces)
 
     def run_s(self, *, tokens: int) -> float:
-        """Estimate a run; ``tokens`` only bounds an answer, 0 for none."""
+        """Estimate the duration of a run.
+
+        ``tokens`` is only an upper bound of the answer's length, 0 for none.
+        """
         if tokens <= 0:
             return self.service_s
         return min(self.service_s, tokens * self.pace_s)
@@ -47,21 +50,21 @@
 
 @frozen
 class Start:
-    """A slot is free and this attempt's turn has come."""
+    """The attempt got a free slot and starts."""
 
     key: AttemptKey
 
 
 @frozen
 class Late:
-    """The attempt can't end in time; a slot would be wasted on it."""
+    """The attempt can't end before its deadline and gets no slot."""
 
     key: AttemptKey
 
 
 @define
 class SlotAdmission:
-    """The slots of one upstream, and the bounded queue before them.
+    """The slots of one upstream, with a bounded admission queue.
 
     Invariant: at most `slots` attempts hold a slot.
     """
@@ -69,72 +72,72 @@
     slots: int
     queue: AdmissionQueue
     estimate: RunEstimate = field(factory=RunEstimate, init=False)
-    _held: set[AttemptKey] = field(factory=set, init=False)
+    _running: set[AttemptKey] = field(factory=set, init=False)
 
     @property
     def running(self) -> int:
-        """Attempts that hold a slot."""
-        return len(self._held)
+        """Number of attempts that occupy a slot."""
+        return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Attempts that wait for one."""
+        """Number of attempts that wait for a slot."""
         return len(self.queue)
 
     def attempts(self) -> Iterator[AttemptKey]:
-        """Give all attempts that wait or hold a slot."""
-        yield from self._held
+        """Yield all attempts that wait or occupy a slot."""
+        yield from self._running
         yield from self.queue.waiting
 
     def holds(self, key: AttemptKey) -> bool:
-        """Tell whether an attempt holds a slot."""
-        return key in self._held
+        """Return whether an attempt occupies a slot."""
+        return key in self._running
 
     def in_time(self, item: Waiting, *, now: float) -> bool:
-        """Tell whether an attempt that comes now can end in time."""
+        """Return whether an attempt that arrives now can meet its deadline."""
         wait_s = self.wait_s(item.customer, item.share)
         return now + wait_s + self._run_s(item) < item.deadline
 
     def add(self, item: Waiting) -> AttemptKey | None:
-        """Let an attempt wait; give the one that a full queue drops."""
+        """Enqueue an attempt; return the one that a full queue drops, if any."""
         return self.queue.push(item)
 
     def next(self, *, now: float) -> Start | Late | None:
-        """Give the next step; None while all slots are taken or none waits."""
-        if len(self._held) >= self.slots:
+        """Return the next step; None if no slot is free or no attempt waits."""
+        if len(self._running) >= self.slots:
             return None
         item = self.queue.pop(now=now)
         if item is None:
             return None
         if now + self._run_s(item) >= item.deadline:
             return Late(item.key)
-        self.queue.note_start(item, now=now)
-        self._held.add(item.key)
+        self.queue.record_start(item, now=now)
+        self._running.add(item.key)
         return Start(item.key)
 
     def leave(self, key: AttemptKey) -> None:
-        """Take an attempt out of the queue or its slot."""
+        """Remove an attempt from the queue or from its slot."""
         self.queue.remove(key)
-        self._held.discard(key)
+        self._running.discard(key)
 
     def wait_s(self, customer: str, share: float) -> float:
         """Estimate the seconds until a new attempt would get a slot."""
-        free = self.slots - len(self._held)
+        free = self.slots - len(self._running)
         ahead = self.queue.ahead_of(customer, share)
-        turns = max(ahead + 1 - free, 0) / self.slots
-        return turns * self.estimate.service_s
+        rounds = max(ahead + 1 - free, 0) / self.slots
+        return rounds * self.estimate.service_s
 
     def _run_s(self, item: Waiting) -> float:
-        """Give the time that must be left for a run to begin.
+        """Return the time that must be left for a run to start.
 
-        An idle upstream is always tried: estimates only change by runs, and
-        an old one from a busy time would refuse short deadlines for ever.
+        It is 0 for an idle upstream: estimates change only when an attempt
+        runs, so an outdated high estimate would reject short deadlines forever.
         """
-        if not self._held:
+        if not self._running:
             return 0
-        return RUN_MARGIN * self.estimate.run_s(tokens=item.tokens)
+        return RUN_MARGIN_FACTOR * self.estimate.run_s(tokens=item.tokens)
 
 
-def _mean(before: float, measured: float) -> float:
-    weight = MEAN_WEIGHT if before else 1
+def _moving_average(before: float, measured: float) -> float:
+    weight = SMOOTHING_FACTOR if before else 1
     return before + weight * (measured - before)
--- a/packages/core/src/crowrudder_core/requests/_claims.py
+++ b/packages/core/src/crowrudder_core/requests/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of request ids: the book of a home, and the count of an owner."""
+"""Claims of request ids: the voter's records and the owner's tally."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from attrs import define, evolve, field, frozen
 
-from crowrudder_core.requests._homes import quorum
+from crowrudder_core.requests._voters import quorum
 from crowrudder_model.messages import (
     ClaimAsk,
     ClaimState,
@@ -16,14 +16,14 @@
 )
 
 REMEMBER_S = 600.0
-"""Seconds after a request's deadline in which its id may not run again."""
+"""Time after a request's deadline during which its id may not run again."""
 
-MOST_CLAIMS = 200_000
-"""Records that a home keeps at most; about 60 MB."""
+MAX_CLAIMS = 200_000
+"""Maximum number of records of a voter; they take about 60 MB."""
 
 
 @frozen(kw_only=True)
-class _Record:
+class _ClaimRecord:
     owner: str
     serial: int
     until: float
@@ -32,10 +32,10 @@
 
 @define
 class ClaimBook:
-    """What one home remembers of request ids.
+    """The claims of request ids that one voter has granted.
 
-    Invariant: until a record's time is over, an id is held by one owner,
-    unless that owner gave it back as never run.
+    Invariant: until its record expires, an id is held by one owner, unless
+    that owner released it because the request never ran.
 
     Example
     -------
@@ -47,48 +47,48 @@
     <ClaimState.TAKEN: 'taken'>
     """
 
-    most: int = MOST_CLAIMS
+    most: int = MAX_CLAIMS
     leaving: bool = field(default=False, init=False)
-    _records: dict[str, _Record] = field(factory=dict, init=False)
+    _records: dict[str, _ClaimRecord] = field(factory=dict, init=False)
 
     def __len__(self) -> int:
-        """Give the number of records."""
+        """Return the number of records."""
         return len(self._records)
 
-    def claim(self, ask: ClaimAsk, *, now: float) -> ClaimState:
-        """Decide on a claim."""
-        known = self._known(ask.request_id, now)
-        if known is not None and not _may_follow(known, ask):
+    def claim(self, request: ClaimAsk, *, now: float) -> ClaimState:
+        """Grant or reject a claim, or abstain."""
+        known = self._known(request.request_id, now)
+        if known is not None and not _may_replace(known, request):
             return ClaimState.TAKEN
         if self.leaving:
             return ClaimState.ABSTAINED
         if known is None and len(self._records) >= self.most:
             return ClaimState.ABSTAINED
-        self._records[ask.request_id] = _Record(
-            owner=ask.owner,
-            serial=ask.serial,
-            until=now + ask.keep_s,
+        self._records[request.request_id] = _ClaimRecord(
+            owner=request.owner,
+            serial=request.serial,
+            until=now + request.keep_s,
         )
         return ClaimState.GRANTED
 
-    def release(self, ask: ReleaseAsk, *, now: float) -> None:
-        """Take a claim back; a claim that comes later is then refused.
+    def release(self, request: ReleaseAsk, *, now: float) -> None:
+        """Release a claim and reject the same claim if it arrives afterwards.
 
-        Messages overtake each other. Without the mark a claim that arrives
-        after its release would block the id for the whole window.
+        Messages may be reordered. Without the released record, a claim that
+        arrives after its release would block the id for the whole window.
         """
-        known = self._known(ask.request_id, now)
-        if known is not None and not _may_release(known, ask):
+        known = self._known(request.request_id, now)
+        if known is not None and not _may_release(known, request):
             return
-        self._records[ask.request_id] = _Record(
-            owner=ask.owner,
-            serial=ask.serial,
+        self._records[request.request_id] = _ClaimRecord(
+            owner=request.owner,
+            serial=request.serial,
             until=now + REMEMBER_S,
             released=True,
         )
 
     def held(self, *, now: float) -> list[HeldClaim]:
-        """Give what other homes are to know when this one leaves."""
+        """Return the claims to transfer to other voters when this one leaves."""
         return [
             HeldClaim(
                 request_id=request_id,
@@ -101,16 +101,17 @@
         ]
 
     def take_over(self, claims: Iterable[HeldClaim], *, now: float) -> int:
-        """Take in the claims of a home that leaves; give the number kept.
+        """Import the claims of a leaving voter; return the number added.
 
-        What is known here stays, but for its time, which only grows.
+        Existing claims stay unless they were released; their expiry is only
+        ever extended.
         """
         kept = 0
         for claim in claims:
             known = self._known(claim.request_id, now)
             until = now + claim.keep_s
             if known is None or (known.released and _is_later(claim, known)):
-                known = _Record(
+                known = _ClaimRecord(
                     owner=claim.owner,
                     serial=claim.serial,
                     until=until,
@@ -121,59 +122,59 @@
         return kept
 
     def forget(self, *, now: float) -> int:
-        """Drop records whose time is over; give the number dropped."""
-        old = [
+        """Drop expired records; return the number dropped."""
+        expired_ids = [
             request_id
             for request_id, record in self._records.items()
             if record.until <= now
         ]
-        for request_id in old:
+        for request_id in expired_ids:
             self._records.pop(request_id)
-        return len(old)
+        return len(expired_ids)
 
-    def _known(self, request_id: str, now: float) -> _Record | None:
+    def _known(self, request_id: str, now: float) -> _ClaimRecord | None:
         known = self._records.get(request_id)
         return known if known is not None and known.until > now else None
 
 
-def _may_follow(known: _Record, ask: ClaimAsk) -> bool:
+def _may_replace(known: _ClaimRecord, request: ClaimAsk) -> bool:
     if known.released:
-        return known.owner != ask.owner or ask.serial > known.serial
-    return known.owner == ask.owner and known.serial == ask.serial
+        return known.owner != request.owner or request.serial > known.serial
+    return known.owner == request.owner and known.serial == request.serial
 
 
-def _may_release(known: _Record, ask: ReleaseAsk) -> bool:
-    """Only the request that holds an id gives it back.
+def _may_release(known: _ClaimRecord, request: ReleaseAsk) -> bool:
+    """Return whether the release comes from the request that holds the id.
 
-    A second request of the same owner was refused; its release must not free
-    what the first one still runs.
+    A second request of the same owner is rejected, and its release must not
+    free the id while the first one still runs.
     """
-    if known.owner != ask.owner:
+    if known.owner != request.owner:
         return False
     if known.released:
-        return ask.serial > known.serial
-    return ask.serial == known.serial
+        return request.serial > known.serial
+    return request.serial == known.serial
 
 
-def _is_later(claim: HeldClaim, known: _Record) -> bool:
+def _is_later(claim: HeldClaim, known: _ClaimRecord) -> bool:
     return claim.owner != known.owner or claim.serial > known.serial
 
 
 class Vote(enum.Enum):
-    """Where a claim stands."""
+    """Result of the tally of a claim."""
 
     OPEN = 'open'
     HELD = 'held'
     TAKEN = 'taken'
     CONTENDED = 'contended'
-    """Some homes hold the id for another owner, too few to be sure of it."""
+    """Some voters hold the id for another owner, but fewer than a quorum."""
 
     OUT_OF_REACH = 'out_of_reach'
 
 
 @define
 class ClaimCount:
-    """Count the homes' words on one claim.
+    """Tally of the voters' answers on one claim.
 
     Example
     -------
@@ -185,45 +186,45 @@
     """
 
     homes: tuple[str, ...]
-    _words: dict[str, ClaimState] = field(factory=dict, init=False)
+    _answers: dict[str, ClaimState] = field(factory=dict, init=False)
 
-    def take(self, home: str, state: ClaimState) -> Vote:
-        """Take a home's word; a second one of the same home is ignored."""
-        if home in self.homes:
-            self._words.setdefault(home, state)
+    def take(self, voter: str, state: ClaimState) -> Vote:
+        """Record a voter's answer; a second one of the same voter is ignored."""
+        if voter in self.homes:
+            self._answers.setdefault(voter, state)
         return self.vote
 
     @property
     def vote(self) -> Vote:
-        """What the words so far amount to.
+        """Result of the answers received so far.
 
-        A single home that remembers another owner keeps the claim from being
-        held: it may be the only one left that knows of a run.
+        A single voter that holds the id for another owner prevents the claim
+        from being held: it may be the only one left with a record of a run.
         """
-        words = list(self._words.values())
+        answers = list(self._answers.values())
         needed = quorum(len(self.homes))
-        taken = words.count(ClaimState.TAKEN)
+        taken = answers.count(ClaimState.TAKEN)
         if self.homes and taken >= needed:
             return Vote.TAKEN
         if self.homes and not taken and self._granted >= needed:
             return Vote.HELD
         if not taken and self._reachable < needed:
             return Vote.OUT_OF_REACH
-        if len(words) < len(self.homes):
+        if len(answers) < len(self.homes):
             return Vote.OPEN
         return Vote.CONTENDED if taken else Vote.OUT_OF_REACH
 
     def close(self) -> Vote:
-        """Count every home without a word as silent."""
-        for home in self.homes:
-            self.take(home, ClaimState.ABSTAINED)
+        """Count every voter without an answer as abstained; return the result."""
+        for voter in self.homes:
+            self.take(voter, ClaimState.ABSTAINED)
         return self.vote
 
     @property
     def _granted(self) -> int:
-        return list(self._words.values()).count(ClaimState.GRANTED)
+        return list(self._answers.values()).count(ClaimState.GRANTED)
 
     @property
     def _reachable(self) -> int:
-        silent = list(self._words.values()).count(ClaimState.ABSTAINED)
-        return len(self.homes) - silent
+        abstained = list(self._answers.values()).count(ClaimState.ABSTAINED)
+        return len(self.homes) - abstained
--- a/packages/core/src/crowrudder_core/requests/_ledger.py
+++ b/packages/core/src/crowrudder_core/requests/_ledger.py
@@ -1,4 +1,4 @@
-"""What an agent remembers of each attempt, so that none starts twice."""
+"""Ledger of the attempts of an agent; prevents a second start."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 )
 
 KEEP_S = 600.0
-"""Seconds for which an ended attempt is remembered."""
+"""How long the record of an ended attempt is retained."""
 
 
 class Stage(enum.IntEnum):
-    """How far an attempt has come; it only rises."""
+    """Stage of an attempt; it only increases."""
 
     QUEUED = 1
     ASKED = 2
@@ -29,7 +29,7 @@
     REFUSED = 6
 
 
-_ENDED = (Stage.FINISHED, Stage.REFUSED)
+_END_STAGES = (Stage.FINISHED, Stage.REFUSED)
 
 
 @define(kw_only=True)
@@ -59,14 +59,14 @@
 
     records: dict[AttemptKey, Record] = field(factory=dict, init=False)
     started_ids: dict[str, float] = field(factory=dict, init=False)
-    """Ids that ran here, with the time of their last start or end."""
+    """Ids that started here, with the time of their last start or end."""
 
     def receive(self, attempt: Attempt, *, now: float) -> Refusal | None:
-        """Take an attempt in, or say why it never starts here."""
+        """Record a new attempt, or return why it never starts here."""
         known = self.records.get(attempt.key)
         if known is not None:
             return Refusal(reason='duplicate_message')
-        if not attempt.idempotent and self._ran(attempt.key.request_id):
+        if not attempt.idempotent and self._has_started(attempt.key.request_id):
             return Refusal(reason='already_started')
         if attempt.budget_s <= 0:
             return Refusal(reason='deadline_passed')
@@ -79,7 +79,7 @@
         return None
 
     def ask(self, key: AttemptKey, *, now: float) -> bool:
-        """Note that the permit is asked for; false when it may not be."""
+        """Record that a permit is requested; false if it may not be requested."""
         record = self.records[key]
         if record.stage is not Stage.QUEUED or now >= record.deadline:
             return False
@@ -87,7 +87,7 @@
         return True
 
     def permit(self, key: AttemptKey, *, granted: bool, now: float) -> bool:
-        """Take the owner's word; true when the attempt may start."""
+        """Record the owner's decision; return whether the attempt may start."""
         record = self.records[key]
         if record.stage is not Stage.ASKED:
             return False
@@ -98,11 +98,12 @@
         return True
 
     def start(self, key: AttemptKey, *, now: float) -> bool:
-        """Enter the irreversible step; false when the time has passed.
+        """Record the start of the attempt; false if it may not start.
 
-        A process that was paused between permit and start wakes up with an
-        old permit. It would be seen as a run after the caller was told that
-        it never will; the deadline is therefore checked at this very moment.
+        A start can't be undone. A process that is paused between permit and
+        start resumes with an outdated permit, and the attempt would run after
+        the caller was notified that it never will. The deadline is therefore
+        checked again here.
         """
         record = self.records[key]
         if record.stage is not Stage.PERMITTED:
@@ -110,7 +111,7 @@
         if now >= record.deadline:
             self.refuse(key, now=now)
             return False
-        self._assert_first(record)
+        self._assert_first_start(record)
         record.stage = Stage.STARTED
         self.started_ids[key.request_id] = now
         return True
@@ -122,10 +123,11 @@
         now: float,
         ran: bool = True,
     ) -> None:
-        """Note that the upstream is done with the attempt.
+        """Record that the upstream has finished the attempt.
 
-        Where it said that it did not begin (``ran`` false), the id is free:
-        the caller is told "not run" and may send it again.
+        If the upstream reports that it did not start the request (``ran`` is
+        false), the id is free: the outcome is "not run", and the caller may
+        send the request again.
         """
         started = self.started_ids.pop(key.request_id, None)
         if ran and started is not None:
@@ -133,16 +135,16 @@
         self._end(self.records[key], Stage.FINISHED, now)
 
     def refuse(self, key: AttemptKey, *, now: float) -> None:
-        """Note that the attempt never starts; no effect once it started."""
+        """Record that the attempt never starts; no effect once it has started."""
         record = self.records[key]
         if record.stage < Stage.STARTED:
             self._end(record, Stage.REFUSED, now)
 
     def settle(self, key: AttemptKey, *, now: float) -> SettledState:
-        """Bind this incarnation to a word on a lost attempt.
+        """Return a binding answer on an attempt whose connection was lost.
 
-        An attempt that is not known is recorded as refused: the message that
-        carries it may still be under way.
+        An unknown attempt is recorded as refused, because the message that
+        carries it may still arrive.
         """
         record = self.records.get(key)
         if record is None:
@@ -160,45 +162,45 @@
         return SettledState.NEVER_STARTS
 
     def forget(self, *, now: float) -> int:
-        """Drop what ended more than `KEEP_S` ago; give the number dropped."""
-        old = [
+        """Drop attempts that ended more than `KEEP_S` ago; return their number."""
+        expired = [
             key
             for key, record in self.records.items()
-            if record.stage in _ENDED and now - record.ended_at > KEEP_S
+            if record.stage in _END_STAGES and now - record.ended_at > KEEP_S
         ]
-        for key in old:
+        for key in expired:
             self.records.pop(key)
         running = {
             record.key.request_id
             for record in self.records.values()
             if record.stage is Stage.STARTED
         }
-        stale = [
+        stale_ids = [
             request_id
             for request_id, at in self.started_ids.items()
             if now - at > KEEP_S and request_id not in running
         ]
-        for request_id in stale:
+        for request_id in stale_ids:
             self.started_ids.pop(request_id)
-        return len(old)
+        return len(expired)
 
     def stage_of(self, key: AttemptKey) -> Stage | None:
-        """Give how far an attempt has come; None where it is not known."""
+        """Return the stage of an attempt, or None if it is unknown."""
         record = self.records.get(key)
         return None if record is None else record.stage
 
-    def _ran(self, request_id: str) -> bool:
+    def _has_started(self, request_id: str) -> bool:
         return request_id in self.started_ids
 
-    def _assert_first(self, record: Record) -> None:
-        if not record.idempotent and self._ran(record.key.request_id):
+    def _assert_first_start(self, record: Record) -> None:
+        if not record.idempotent and self._has_started(record.key.request_id):
             raise InvariantError(
-                f'{record.key} would start a second time; it was stopped',
+                f'{record.key} would start a second time; start prevented',
                 step='start',
             )
 
     def _end(self, record: Record, stage: Stage, now: float) -> None:
-        if record.stage in _ENDED:
+        if record.stage in _END_STAGES:
             return
         record.stage = stage
         record.ended_at = now
--- a/packages/core/src/crowrudder_core/requests/_owner.py
+++ b/packages/core/src/crowrudder_core/requests/_owner.py
@@ -1,4 +1,4 @@
-"""The entry's side of a request: permits, and what may be said when."""
+"""The entry's state of a request: start permits and the final outcome."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from crowrudder_model.messages import AttemptKey, SettledState
 
 
-class _Hold(enum.Enum):
-    """What an attempt means to its owner."""
+class _AttemptState(enum.Enum):
+    """State of an attempt as its owner knows it."""
 
     WAITING = 'waiting'
     GRANTED = 'granted'
@@ -21,32 +21,32 @@
 
 @frozen
 class Settle:
-    """Ask the agent's incarnation what became of the attempt."""
+    """Request a binding answer on the attempt from the agent's incarnation."""
 
     key: AttemptKey
 
 
 @frozen
 class MoveOn:
-    """The attempt never starts: another one elsewhere is safe."""
+    """The attempt never starts; another agent can be tried safely."""
 
     key: AttemptKey
 
 
 @frozen
 class Attach:
-    """The attempt runs or has run: go on from its answer."""
+    """The attempt runs or has run; resume reading its answer."""
 
     key: AttemptKey
 
 
 @define
 class RequestOwner:
-    """All that an entry has promised about one request.
+    """Permits, attempts and outcome of one request at its entry.
 
-    Invariant: at most one permit of a request that is not idempotent is out
-    at any time, and `Outcome.NOT_RUN` is never said while one is out or after
-    an attempt ran.
+    Invariant: a request that is not idempotent has at most one outstanding
+    permit, and `Outcome.NOT_RUN` is never reported while a permit is
+    outstanding or after an attempt ran.
     """
 
     request_id: str
@@ -54,16 +54,16 @@
     idempotent: bool = field(kw_only=True)
     deadline: float = field(kw_only=True)
     serial: int = field(default=0, kw_only=True)
-    holds: dict[AttemptKey, _Hold] = field(factory=dict, init=False)
+    holds: dict[AttemptKey, _AttemptState] = field(factory=dict, init=False)
     closed: Outcome | None = field(default=None, init=False)
     _hedges: set[AttemptKey] = field(factory=set, init=False)
-    _ran: Outcome | None = field(default=None, init=False)
+    _run_outcome: Outcome | None = field(default=None, init=False)
 
     def open_attempt(self, *, hedge: bool = False) -> AttemptKey:
-        """Begin a further attempt and give its key.
+        """Open another attempt and return its key.
 
-        Of an idempotent request, a hedge may run beside another attempt that
-        gives no sign of life; attempts that only wait in two queues may not.
+        A hedge of an idempotent request may run concurrently with an attempt
+        that no longer responds. Two attempts that are merely queued may not.
         """
         key = AttemptKey(
             request_id=self.request_id,
@@ -71,34 +71,34 @@
             entry=self.entry,
             serial=self.serial,
         )
-        self.holds[key] = _Hold.WAITING
+        self.holds[key] = _AttemptState.WAITING
         if hedge:
             self._hedges.add(key)
         return key
 
     def grant(self, key: AttemptKey, *, now: float) -> bool:
-        """Decide on a permit that an agent asks for."""
+        """Grant or deny a permit request; return whether it is granted."""
         if self.closed is not None or now >= self.deadline:
             return False
-        if self.holds.get(key) is not _Hold.WAITING:
+        if self.holds.get(key) is not _AttemptState.WAITING:
             return False
-        beside = self.idempotent and key in self._hedges
-        if self.permit_out and not beside:
+        may_run_concurrently = self.idempotent and key in self._hedges
+        if self.permit_out and not may_run_concurrently:
             return False
-        self.holds[key] = _Hold.GRANTED
+        self.holds[key] = _AttemptState.GRANTED
         return True
 
     def refused(self, key: AttemptKey) -> MoveOn:
-        """Take an agent's word that the attempt never starts."""
-        self.holds[key] = _Hold.ENDED
+        """Record that an agent refused the attempt, which never starts."""
+        self.holds[key] = _AttemptState.ENDED
         return MoveOn(key)
 
     def lost(self, key: AttemptKey) -> Settle | MoveOn:
-        """Take note of a broken connection."""
-        if self.holds[key] is _Hold.GRANTED:
-            self.holds[key] = _Hold.LOST
+        """Record that the connection of an attempt was lost."""
+        if self.holds[key] is _AttemptState.GRANTED:
+            self.holds[key] = _AttemptState.LOST
             return Settle(key)
-        self.holds[key] = _Hold.ENDED
+        self.holds[key] = _AttemptState.ENDED
         return MoveOn(key)
 
     def settled(
@@ -106,39 +106,40 @@
         key: AttemptKey,
         state: SettledState,
     ) -> MoveOn | Attach | Outcome:
-        """Take the agent's binding word, or its incarnation's absence."""
+        """Apply the agent's binding answer, or that its incarnation is gone."""
         match state:
             case SettledState.NEVER_STARTS:
                 return self.refused(key)
             case SettledState.ATTACHED:
-                self.holds[key] = _Hold.GRANTED
+                self.holds[key] = _AttemptState.GRANTED
                 return Attach(key)
             case SettledState.OTHER_INCARNATION:
                 return self._gone(key)
 
     def unreachable(self, key: AttemptKey) -> MoveOn | Outcome:
-        """Nobody can settle the attempt any more."""
+        """Record that no agent can settle the attempt any more."""
         return self._gone(key)
 
     def ended(self, key: AttemptKey, outcome: Outcome) -> None:
-        """Take note of the final message of an attempt."""
-        self.holds[key] = _Hold.ENDED
+        """Record the final message of an attempt."""
+        self.holds[key] = _AttemptState.ENDED
         if outcome is not Outcome.NOT_RUN:
-            self._note_ran(outcome)
+            self._record_run(outcome)
 
     def close(self, outcome: Outcome) -> Outcome:
-        """Fix what the caller is told; no permit is granted after it.
+        """Fix the outcome for the caller; no permit is granted afterwards.
 
-        Where a permit is out, "not run" would be a guess: it becomes unknown.
-        Where an earlier attempt ran, it becomes what that attempt came to.
+        "Not run" becomes "unknown" while a permit is outstanding, because the
+        attempt may be running. If an earlier attempt ran, "not run" becomes
+        the outcome of that attempt.
         """
         if outcome is Outcome.NOT_RUN and self.permit_out:
             outcome = Outcome.UNKNOWN
-        if outcome is Outcome.NOT_RUN and self._ran is not None:
-            outcome = self._ran
+        if outcome is Outcome.NOT_RUN and self._run_outcome is not None:
+            outcome = self._run_outcome
         if self.closed is not None:
             raise InvariantError(
-                f'{self.request_id} was already told {self.closed.value}',
+                f'{self.request_id} is already closed as {self.closed.value}',
                 step='close',
             )
         self.closed = outcome
@@ -146,23 +147,24 @@
 
     @property
     def may_hedge(self) -> bool:
-        """Whether a further attempt may wait beside the present ones."""
+        """Whether another attempt may be queued besides the current ones."""
         return self.closed is None and (self.idempotent or not self.permit_out)
 
     @property
     def permit_out(self) -> bool:
         """Whether an attempt may be running somewhere."""
         return any(
-            hold in {_Hold.GRANTED, _Hold.LOST} for hold in self.holds.values()
+            state in {_AttemptState.GRANTED, _AttemptState.LOST}
+            for state in self.holds.values()
         )
 
     def _gone(self, key: AttemptKey) -> MoveOn | Outcome:
         if not self.idempotent:
             return Outcome.UNKNOWN
-        self._note_ran(Outcome.UNKNOWN)
+        self._record_run(Outcome.UNKNOWN)
         return self.refused(key)
 
-    def _note_ran(self, outcome: Outcome) -> None:
-        """Keep the weaker of two words: unknown goes before failed."""
-        if self._ran is not Outcome.UNKNOWN:
-            self._ran = outcome
+    def _record_run(self, outcome: Outcome) -> None:
+        """Record the outcome of a run; unknown takes precedence over failed."""
+        if self._run_outcome is not Outcome.UNKNOWN:
+            self._run_outcome = outcome
--- a/packages/core/src/crowrudder_core/requests/_queue.py
+++ b/packages/core/src/crowrudder_core/requests/_queue.py
@@ -1,4 +1,4 @@
-"""The bounded queue of attempts that wait for a slot of the upstream."""
+"""Bounded, weighted fair queue of attempts that wait for an upstream slot."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 from crowrudder_model.messages import AttemptKey
 
-USAGE_TAU_S = 5.0
-"""Seconds over which past use of the slots counts."""
+USAGE_DECAY_S = 5.0
+"""Time constant of the exponential decay of past usage."""
 
-FADED = 0.01
-"""Use below this is forgotten."""
+NEGLIGIBLE_USAGE = 0.01
+"""Usage records below this amount are dropped."""
 
-LEAST_WEIGHT = 0.01
-"""Weight of a customer without a share where the others' shares fill all."""
+MIN_WEIGHT = 0.01
+"""Weight of a customer without a share if the other shares sum to 1."""
 
 
 @frozen(kw_only=True)
 class Waiting:
     """An attempt in the queue.
 
-    ``share`` is the part of the slots that is kept for the customer,
-    ``tokens`` the most that the answer may have (0 where it has none), and
+    ``share`` is the fraction of the slots reserved for the customer,
+    ``tokens`` the maximum length of the answer (0 if it has none), and
     ``deadline`` a monotonic time of this process.
     """
 
@@ -39,20 +39,20 @@
 
     @property
     def cost(self) -> int:
-        """The work, for the count of the customer's use."""
+        """Work that is added to the customer's usage."""
         return max(self.tokens, 1)
 
 
 @define
 class _Usage:
-    """Work given to one customer, fading with time."""
+    """Work done for one customer, with exponential decay."""
 
     amount: float = 0
     at: float = 0
 
     def read(self, now: float) -> float:
-        passed = max(now - self.at, 0)
-        return self.amount * math.exp(-passed / USAGE_TAU_S)
+        elapsed_s = max(now - self.at, 0)
+        return self.amount * math.exp(-elapsed_s / USAGE_DECAY_S)
 
     def add(self, cost: float, now: float) -> None:
         self.amount = self.read(now) + cost
@@ -61,100 +61,108 @@
 
 @define
 class AdmissionQueue:
-    """Attempts of many customers; who is below the share goes first.
+    """Fair queue of attempts; customers below their share are served first.
 
     Among the customers below their declared share, and then among the others,
-    the better priority goes first, then the customer that has used least for
-    its weight, then the order of arrival. A full queue drops the latest
-    attempt of the customer that is furthest above its places, so that one
-    customer can't keep the others out.
+    the order is by priority, then by usage relative to the customer's weight,
+    then by arrival. A full queue drops the latest attempt of the customer that
+    exceeds its queue places most, so that one customer can't starve the others.
 
     Parameters
     ----------
     length
-        Most attempts that may wait.
+        Maximum number of waiting attempts.
     """
 
     length: int
     waiting: dict[AttemptKey, Waiting] = field(factory=dict, init=False)
-    _counter: int = field(default=0, init=False)
-    _used: dict[str, _Usage] = field(factory=dict, init=False)
+    _arrivals: int = field(default=0, init=False)
+    _usage_by_customer: dict[str, _Usage] = field(factory=dict, init=False)
 
     def __len__(self) -> int:
-        """Give the number of waiting attempts."""
+        """Return the number of waiting attempts."""
         return len(self.waiting)
 
     def push(self, item: Waiting) -> AttemptKey | None:
-        """Put an attempt in; give the one that has no place, perhaps itself."""
-        self._counter += 1
-        self.waiting[item.key] = evolve(item, order=self._counter)
+        """Add an attempt; return the dropped one if the queue is full.
+
+        The dropped attempt may be the added one.
+        """
+        self._arrivals += 1
+        self.waiting[item.key] = evolve(item, order=self._arrivals)
         if len(self.waiting) <= self.length:
             return None
-        dropped = self._least_entitled()
+        dropped = self._most_over_share()
         self.waiting.pop(dropped)
         return dropped
 
     def pop(self, *, now: float) -> Waiting | None:
-        """Take the next attempt out."""
+        """Remove and return the next attempt, or None."""
         if not self.waiting:
             return None
         chosen = min(self.waiting.values(), key=self._order(now))
         return self.waiting.pop(chosen.key)
 
-    def note_start(self, item: Waiting, *, now: float) -> None:
-        """Count the work of an attempt that got its slot."""
-        self._used.setdefault(item.customer, _Usage()).add(item.cost, now)
+    def record_start(self, item: Waiting, *, now: float) -> None:
+        """Add the work of a started attempt to its customer's usage."""
+        self._usage_by_customer.setdefault(item.customer, _Usage()).add(
+            item.cost, now
+        )
 
     def remove(self, key: AttemptKey) -> None:
-        """Take an attempt out that no longer waits."""
+        """Remove an attempt that no longer waits."""
         self.waiting.pop(key, None)
 
     def ahead_of(self, customer: str, share: float) -> float:
         """Estimate how many attempts start before a new one of a customer.
 
-        A customer with a share waits for its own attempts at its share of the
-        speed, if that is sooner than its turn behind everybody.
+        A customer with a share waits at most for its own attempts, which start
+        at its share of the rate, and at most for all waiting attempts.
         """
-        everybody = len(self.waiting)
+        waiting_count = len(self.waiting)
         if share <= 0:
-            return everybody
-        own = self._count()[customer]
-        return min(everybody, own / share)
+            return waiting_count
+        own_count = self._count()[customer]
+        return min(waiting_count, own_count / share)
 
     def forget(self, *, now: float) -> None:
-        """Drop customers whose use has faded."""
-        self._used = {
+        """Drop customers whose usage has become negligible."""
+        self._usage_by_customer = {
             customer: usage
-            for customer, usage in self._used.items()
-            if usage.read(now) > FADED
+            for customer, usage in self._usage_by_customer.items()
+            if usage.read(now) > NEGLIGIBLE_USAGE
         }
 
     def _order(
         self,
         now: float,
     ) -> Callable[[Waiting], tuple[bool, int, float, int]]:
-        """Give the key by which the next attempt is found."""
-        used = {name: usage.read(now) for name, usage in self._used.items()}
-        total = sum(used.values())
+        """Return the sort key of waiting attempts; the smallest is next."""
+        usage_amounts = {
+            name: usage.read(now)
+            for name, usage in self._usage_by_customer.items()
+        }
+        total = sum(usage_amounts.values())
         weights = self._weights()
 
         def order(item: Waiting) -> tuple[bool, int, float, int]:
-            own = used.get(item.customer, 0)
-            above = own >= item.share * (total + item.cost)
+            own_usage = usage_amounts.get(item.customer, 0)
+            above = own_usage >= item.share * (total + item.cost)
             return (
                 above,
                 item.priority,
-                own / weights[item.customer],
+                own_usage / weights[item.customer],
                 item.order,
             )
 
         return order
 
-    def _least_entitled(self) -> AttemptKey:
-        """Find the latest attempt of who is furthest above its places.
+    def _most_over_share(self) -> AttemptKey:
+        """Return the latest attempt of the customer most above its places.
 
-        Each customer has places by its weight, at least one: a small one that
-        comes with a single attempt isn't dropped for a large one's many.
+        Each customer has queue places by its weight, at least one, so that the
+        only attempt of a small customer isn't dropped in favour of the many of
+        a large one.
         """
         weights = self._weights()
         above = {
@@ -171,12 +179,17 @@
         ).key
 
     def _weights(self) -> dict[str, float]:
-        """Give each waiting customer its share, or a part of what is left."""
+        """Return the weight of each waiting customer.
+
+        Customers without a share divide what the shares leave equally.
+        """
         shares = {item.customer: item.share for item in self.waiting.values()}
-        without = sum(1 for share in shares.values() if share <= 0)
-        left = max(1 - sum(shares.values()), 0) / max(without, 1)
+        count_without_share = sum(1 for share in shares.values() if share <= 0)
+        remaining_share = max(1 - sum(shares.values()), 0) / max(
+            count_without_share, 1
+        )
         return {
-            customer: max(share or left, LEAST_WEIGHT)
+            customer: max(share or remaining_share, MIN_WEIGHT)
             for customer, share in shares.items()
         }
 
--- a/tests/exploration/test_explore.py
+++ b/tests/exploration/test_explore.py
@@ -14,12 +14,12 @@
 from _explore_world import new_world  # noqa: E402 - found by the path above
 from explore import explore  # noqa: E402 - found by the path above
 
-ENOUGH = 15_000
+MAX_STATES = 15_000
 
 
 def explored(**faults):
     world = new_world(**{'doubles': 0, 'losses': 0, 'deaths': 0, **faults})
-    return explore(world, most_states=ENOUGH)
+    return explore(world, most_states=MAX_STATES)
 
 
 class TestEveryOrder:
@@ -27,7 +27,7 @@
         found = explored()
         assert found.whole, found
 
-    def test_with_a_doubled_message(self):
+    def test_with_a_duplicated_message(self):
         found = explored(doubles=1)
         assert not found.broken, found
 
@@ -35,37 +35,37 @@
         found = explored(losses=1)
         assert not found.broken, found
 
-    def test_with_a_death(self):
+    def test_with_a_process_death(self):
         found = explored(deaths=1)
         assert not found.broken, found
 
 
 class TestBrokenRulesAreFound:
-    """The exploration fails when a rule that it is meant for is taken out."""
+    """The exploration fails if a rule that it checks is disabled."""
 
-    def test_settling_that_binds_nothing(self, monkeypatch):
+    def test_settlement_that_is_not_binding(self, monkeypatch):
         def settle(self, key, *, now):
             return SettledState.NEVER_STARTS
 
         monkeypatch.setattr(AgentLedger, 'settle', settle)
         assert explored().broken
 
-    def test_permits_after_the_final_word(self, monkeypatch):
+    def test_permit_granted_after_the_final_outcome(self, monkeypatch):
         def grant(self, key, *, now):
             return True
 
         monkeypatch.setattr(RequestOwner, 'grant', grant)
         assert explored().broken
 
-    def test_gone_incarnations_taken_for_never_started(self, monkeypatch):
-        def gone(self, key):
+    def test_gone_incarnation_treated_as_never_started(self, monkeypatch):
+        def retry_elsewhere(self, key):
             return self.refused(key)
 
-        monkeypatch.setattr(RequestOwner, '_gone', gone)
+        monkeypatch.setattr(RequestOwner, '_gone', retry_elsewhere)
         assert explored(deaths=1).broken
 
 
 @pytest.fixture(scope='module', autouse=True)
-def _leave_the_path_as_it_was():
+def _restore_import_path():
     yield
     sys.path.remove(SCRIPTS)
--- a/tests/requests/test_admission.py
+++ b/tests/requests/test_admission.py
@@ -1,4 +1,4 @@
-"""Slots, shares and deadlines before one upstream."""
+"""Admission by slots, shares and deadlines at one upstream."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return Waiting(key=key, customer=customer, **values)  # type: ignore[arg-type]
 
 
-def started(admission: SlotAdmission, now: float) -> list[AttemptKey]:
+def start_all(admission: SlotAdmission, now: float) -> list[AttemptKey]:
     keys = []
     while isinstance(step := admission.next(now=now), Start):
         keys.append(step.key)
@@ -30,13 +30,13 @@
 
 
 class TestShares:
-    """What a large customer can't take from the small ones."""
+    """Guards small customers against starvation by a large one."""
 
-    def test_a_burst_leaves_the_small_one_its_share(self):
-        """Symptom: small customers get 4 in 100 of their requests.
+    def test_burst_of_one_customer_leaves_the_others_their_share(self):
+        """Guards against starvation of small customers.
 
-        Sequence: one customer sends five times what the upstream carries.
-        Cause: the queue was one line for all.
+        With a single FIFO queue, a customer that sends five times the capacity
+        of the upstream left the others 4 in 100 of their requests.
         """
         admission = SlotAdmission(slots=1, queue=AdmissionQueue(64))
         served = {'large': 0, 'small': 0}
@@ -56,20 +56,20 @@
             admission.leave(step.key)
         assert 28 <= served['small'] <= 35
 
-    def test_a_full_queue_drops_from_who_has_most(self):
+    def test_full_queue_drops_from_customer_most_above_its_share(self):
         queue = AdmissionQueue(3)
         for number in range(3):
             assert queue.push(item(number, 'large', share=0.5)) is None
         assert queue.push(item(9, 'small', share=0.1)) == item(2, 'large').key
         assert queue.push(item(8, 'large', share=0.5)) == item(8, 'large').key
 
-    def test_customers_without_a_share_divide_what_is_left(self):
+    def test_customers_without_a_share_divide_the_remaining_places(self):
         queue = AdmissionQueue(3)
         for number in range(3):
             queue.push(item(number, 'declared', share=0.5))
         assert queue.push(item(9, 'other')) == item(2, 'declared').key
 
-    def test_priority_goes_first_among_equals(self):
+    def test_priority_decides_among_equal_customers(self):
         admission = SlotAdmission(slots=1, queue=AdmissionQueue(8))
         admission.add(item(1, 'a', priority=5))
         admission.add(item(2, 'a', priority=1))
@@ -85,46 +85,46 @@
         admission = SlotAdmission(slots=2, queue=AdmissionQueue(5))
         for number, (customer, priority) in enumerate(arrivals):
             admission.add(item(number, customer, priority=priority))
-            started(admission, float(number))
+            start_all(admission, float(number))
             assert admission.queued <= 5
             assert admission.running <= 2
 
 
 class TestDeadlines:
-    """What can't end in time."""
+    """Attempts that can't meet their deadline."""
 
     def busy(self) -> SlotAdmission:
         admission = SlotAdmission(slots=1, queue=AdmissionQueue(8))
         admission.estimate.on_ended(1.0, pieces=10)
         admission.add(item(0, 'a'))
-        started(admission, 0.0)
+        start_all(admission, 0.0)
         return admission
 
-    def test_a_wait_that_is_too_long_is_seen_on_arrival(self):
+    def test_unreachable_deadline_is_detected_on_arrival(self):
         admission = self.busy()
         assert not admission.in_time(item(1, 'a', deadline=1.5), now=0.0)
         assert admission.in_time(item(1, 'a', deadline=2.5), now=0.0)
 
-    def test_no_run_begins_that_can_not_end(self):
-        """Symptom: slots are full and nothing is answered in time.
+    def test_no_run_starts_that_cannot_meet_its_deadline(self):
+        """Guards against slots full of attempts that all miss their deadline.
 
-        Sequence: under overload each attempt starts just before its deadline.
-        Cause: only the deadline was looked at, not the time a run takes.
+        Under overload, each attempt started just before its deadline, because
+        only the deadline was checked and not the duration of a run.
         """
         admission = SlotAdmission(slots=2, queue=AdmissionQueue(8))
         admission.estimate.on_ended(1.0, pieces=10)
         admission.add(item(0, 'a'))
-        started(admission, 0.0)
+        start_all(admission, 0.0)
         late = item(1, 'a', deadline=1.05)
         admission.add(late)
         assert admission.next(now=0.0) == Late(late.key)
 
-    def test_an_idle_upstream_is_always_tried(self):
-        """Symptom: short deadlines are refused for ever after a busy time.
+    def test_idle_upstream_always_accepts_an_attempt(self):
+        """Guards against short deadlines that are rejected forever after load.
 
-        Sequence: runs were slow under load; the load ends; every short
-        deadline is below the old mean, so that no run corrects it.
-        Cause: estimates only change by runs.
+        Runs are slow under load. After the load ends, every short deadline is
+        below the old mean, and since estimates change only when an attempt
+        runs, nothing corrects it.
         """
         admission = self.busy()
         admission.leave(item(0, 'a').key)
@@ -133,12 +133,12 @@
         admission.add(short)
         assert admission.next(now=0.0) == Start(short.key)
 
-    def test_short_answers_are_estimated_by_their_tokens(self):
+    def test_short_answers_are_estimated_by_token_count(self):
         admission = self.busy()
         assert admission.estimate.run_s(tokens=2) == 0.2
         assert admission.estimate.run_s(tokens=500) == 1.0
 
-    def test_a_share_waits_for_its_own(self):
+    def test_customer_with_a_share_waits_only_for_its_own_attempts(self):
         admission = self.busy()
         for number in range(1, 6):
             admission.add(item(number, 'large', share=0.5))
--- a/tests/requests/test_at_most_once.py
+++ b/tests/requests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""One id through several entries: it runs once, whatever is lost."""
+"""At-most-once execution of an id that is sent through several entries."""
 
 from __future__ import annotations
 
@@ -36,53 +36,53 @@
 
 
 class TestWorld:
-    """The same id through three entries, under every loss at once."""
+    """The same id through three entries with message loss and restarts."""
 
-    def test_an_id_runs_once_with_two_faults(self):
-        """Symptom: a notice goes out twice.
+    def test_request_runs_at_most_once_with_two_faults(self):
+        """Guards against a request that runs twice.
 
-        Sequence: the caller sends the same id through a second entry, while
-        the first runs it, has ended, or is dead; two homes lose their memory,
-        or two entries' lists differ by two hosts, or one of each.
-        Cause: each entry knew only the ids that went through itself.
+        The caller sends the same id through a second entry while the first
+        runs it, has ended it or is dead. In addition two voters lose their
+        records, or the lists of two entries differ by two hosts, or one of
+        each. An entry alone knows only the ids that it forwarded itself.
         """
         run_state_machine_as_test(World, settings=SEARCH)
 
-    def test_the_check_can_fail(self, monkeypatch):
-        """A quorum of three homes doesn't stand the same two faults."""
+    def test_smaller_quorum_violates_the_invariant(self, monkeypatch):
+        """A quorum of three voters doesn't tolerate the same two faults."""
         monkeypatch.setattr(_claims, 'quorum', lambda homes: 3)
         with pytest.raises(AssertionError):
-            two_entries_with_other_lists()
+            run_through_entries_with_different_lists()
 
-    def test_the_same_story_is_safe_with_the_quorum(self):
-        world = two_entries_with_other_lists()
+    def test_quorum_keeps_the_same_scenario_safe(self):
+        world = run_through_entries_with_different_lists()
         assert len(world.started) == 1
 
 
-def two_entries_with_other_lists() -> World:
+def run_through_entries_with_different_lists() -> World:
     """Run an id through two entries whose lists differ by two hosts.
 
-    The network loses what the first entry sends to its last two homes, and
-    what the second sends to the only home that knows more.
+    The network loses the claims of the first entry to its last two voters,
+    and the claim of the second entry to the only voter that has a record.
     """
     world = World()
     world.send('entry-1')
     homes = world.sendings[0].homes
     world.letters = [each for each in world.letters if each.host in homes[:3]]
-    run_to_the_start(world, homes[0])
+    deliver_and_start(world, homes[0])
     world.views['entry-2'] -= set(homes[:2])
     world.send('entry-2')
     world.letters = [each for each in world.letters if each.host != homes[2]]
-    run_to_the_start(world, homes[3])
+    deliver_and_start(world, homes[3])
     if not world.started:
-        # Out of reach with three words: the fourth home hears it as well.
+        # Three answers are too few: deliver the claim to the fourth voter too.
         world.letters.append(Letter('claim', world.sendings[0], homes[3]))
-        run_to_the_start(world, homes[0])
+        deliver_and_start(world, homes[0])
     return world
 
 
-def run_to_the_start(world: World, host: str) -> None:
-    """Deliver everything, and let the agent run what is claimed."""
+def deliver_and_start(world: World, host: str) -> None:
+    """Deliver all messages, then start the attempt at the agent if claimed."""
     for _ in range(len(Outcome)):
         world.deliver_all()
     if world._held():
@@ -93,80 +93,84 @@
 
 
 class TestHomes:
-    """Where an id is remembered."""
+    """Selection of the voters of an id."""
 
-    def test_lists_that_differ_by_a_host_differ_by_a_home(self):
+    def test_lists_that_differ_by_one_host_differ_by_one_voter(self):
         hosts = [f'host-{number}' for number in range(30)]
-        spread = [
+        candidates = [
             Place(host, f'd{number % 4}') for number, host in enumerate(hosts)
         ]
         for number in range(200):
             request_id = f'r{number}'
-            full = set(homes_of(request_id, spread))
-            for gone in full:
-                kept = [place for place in spread if place.host != gone]
-                other = set(homes_of(request_id, kept))
-                assert len(full & other) == len(full) - 1
-
-    def test_homes_lie_in_different_failure_domains(self):
-        spread = [Place(f'h{number}', f'd{number % 6}') for number in range(60)]
-        domains = {place.host: place.failure_domain for place in spread}
+            voters = set(homes_of(request_id, candidates))
+            for removed_host in voters:
+                remaining = [
+                    place for place in candidates if place.host != removed_host
+                ]
+                other = set(homes_of(request_id, remaining))
+                assert len(voters & other) == len(voters) - 1
+
+    def test_voters_are_in_different_failure_domains(self):
+        candidates = [
+            Place(f'h{number}', f'd{number % 6}') for number in range(60)
+        ]
+        domains = {place.host: place.failure_domain for place in candidates}
         for number in range(100):
-            homes = homes_of(f'r{number}', spread)
+            homes = homes_of(f'r{number}', candidates)
             assert len({domains[home] for home in homes}) == len(homes) == 5
 
 
 class TestClaimBook:
-    """The order of claims and releases."""
+    """Claims and releases in different orders."""
 
-    ASK = ClaimAsk(request_id='r', owner='e1', serial=1, keep_s=60.0)
-    BACK = ReleaseAsk(request_id='r', owner='e1', serial=1)
+    CLAIM = ClaimAsk(request_id='r', owner='e1', serial=1, keep_s=60.0)
+    RELEASE = ReleaseAsk(request_id='r', owner='e1', serial=1)
 
-    def test_a_claim_that_comes_after_its_release_is_refused(self):
+    def test_claim_received_after_its_release_is_rejected(self):
         book = ClaimBook()
-        book.release(self.BACK, now=0.0)
-        assert book.claim(self.ASK, now=1.0) is ClaimState.TAKEN
-        other = evolve(self.ASK, owner='e2')
+        book.release(self.RELEASE, now=0.0)
+        assert book.claim(self.CLAIM, now=1.0) is ClaimState.TAKEN
+        other = evolve(self.CLAIM, owner='e2')
         assert book.claim(other, now=1.0) is ClaimState.GRANTED
 
-    def test_a_released_id_may_be_claimed_again(self):
+    def test_released_id_can_be_claimed_again(self):
         book = ClaimBook()
-        book.claim(self.ASK, now=0.0)
-        book.release(self.BACK, now=1.0)
-        again = evolve(self.ASK, serial=2)
+        book.claim(self.CLAIM, now=0.0)
+        book.release(self.RELEASE, now=1.0)
+        again = evolve(self.CLAIM, serial=2)
         assert book.claim(again, now=2.0) is ClaimState.GRANTED
-        book.release(self.BACK, now=3.0)
-        other = evolve(self.ASK, owner='e2')
+        book.release(self.RELEASE, now=3.0)
+        other = evolve(self.CLAIM, owner='e2')
         assert book.claim(other, now=4.0) is ClaimState.TAKEN
 
-    def test_a_refused_request_does_not_free_its_owners_other_one(self):
-        """Symptom: an id runs twice though all homes hold it.
+    def test_rejected_request_does_not_release_another_of_its_owner(self):
+        """Guards against an id that runs twice although all voters hold it.
 
-        Sequence: it is claimed and starts; the same entry claims it once
-        more, is refused and releases; another entry claims it.
-        Cause: a release counted for all earlier claims of its owner.
+        An id is claimed and starts; the same entry claims it again, is
+        rejected and releases; another entry claims it. The release applied to
+        all earlier claims of its owner.
         """
         book = ClaimBook()
-        book.claim(self.ASK, now=0.0)
-        book.release(evolve(self.BACK, serial=2), now=1.0)
-        other = evolve(self.ASK, owner='e2')
+        book.claim(self.CLAIM, now=0.0)
+        book.release(evolve(self.RELEASE, serial=2), now=1.0)
+        other = evolve(self.CLAIM, owner='e2')
         assert book.claim(other, now=2.0) is ClaimState.TAKEN
 
-    def test_a_full_or_leaving_book_vouches_for_nothing(self):
+    def test_full_or_leaving_voter_abstains(self):
         book = ClaimBook(most=1)
-        book.claim(evolve(self.ASK, request_id='other'), now=0.0)
-        assert book.claim(self.ASK, now=0.0) is ClaimState.ABSTAINED
+        book.claim(evolve(self.CLAIM, request_id='other'), now=0.0)
+        assert book.claim(self.CLAIM, now=0.0) is ClaimState.ABSTAINED
         book = ClaimBook()
-        book.claim(self.ASK, now=0.0)
+        book.claim(self.CLAIM, now=0.0)
         book.leaving = True
-        other = evolve(self.ASK, owner='e2')
+        other = evolve(self.CLAIM, owner='e2')
         assert book.claim(other, now=0.0) is ClaimState.TAKEN
-        fresh = evolve(self.ASK, request_id='s')
+        fresh = evolve(self.CLAIM, request_id='s')
         assert book.claim(fresh, now=0.0) is ClaimState.ABSTAINED
 
-    def test_a_claim_is_kept_for_its_time_and_no_longer(self):
+    def test_claim_expires_after_its_retention(self):
         book = ClaimBook()
-        book.claim(self.ASK, now=0.0)
+        book.claim(self.CLAIM, now=0.0)
         book.forget(now=59.0)
         assert len(book) == 1
         book.forget(now=61.0)
--- a/tests/requests/test_ledger.py
+++ b/tests/requests/test_ledger.py
@@ -1,4 +1,4 @@
-"""What an agent remembers of attempts."""
+"""Attempt ledger of an agent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def started(ledger: AgentLedger, *, now: float) -> bool:
+def receive_and_start(ledger: AgentLedger, *, now: float) -> bool:
     return (
         ledger.receive(ATTEMPT, now=now) is None
         and ledger.ask(KEY, now=now)
@@ -29,26 +29,26 @@
 
 
 class TestMemory:
-    """How long an id is remembered."""
+    """Retention of request ids."""
 
-    def test_an_id_is_remembered_while_its_run_lasts(self):
-        """Symptom: a request of an hour runs twice at one agent.
+    def test_id_is_retained_while_its_attempt_runs(self):
+        """Guards against a request of an hour that runs twice at one agent.
 
-        Sequence: it starts; the window passes while it runs; the same id
-        comes again from another entry.
-        Cause: the window was counted from the start, not from the end.
+        The retention expired while the request ran, because it was counted
+        from the start and not from the end. The same id then arrived again
+        from another entry and was started.
         """
         ledger = AgentLedger()
-        assert started(ledger, now=0.0)
+        assert receive_and_start(ledger, now=0.0)
         ledger.forget(now=KEEP_S + 1)
         again = evolve(ATTEMPT, key=evolve(KEY, entry='e2'))
         refusal = ledger.receive(again, now=KEEP_S + 2)
         assert refusal is not None
         assert refusal.reason == 'already_started'
 
-    def test_an_ended_id_is_forgotten_after_the_window(self):
+    def test_ended_id_is_dropped_after_the_retention(self):
         ledger = AgentLedger()
-        started(ledger, now=0.0)
+        receive_and_start(ledger, now=0.0)
         ledger.finish(KEY, now=5.0)
         ledger.forget(now=KEEP_S + 4)
         assert ledger.records
@@ -56,7 +56,7 @@
         assert not ledger.records
         assert not ledger.started_ids
 
-    def test_a_permit_that_wakes_up_late_starts_nothing(self):
+    def test_expired_permit_starts_nothing(self):
         ledger = AgentLedger()
         ledger.receive(ATTEMPT, now=0.0)
         ledger.ask(KEY, now=1.0)
--- a/tests/requests/test_owner.py
+++ b/tests/requests/test_owner.py
@@ -1,4 +1,4 @@
-"""The entry's promises about one request."""
+"""Start permits and final outcome of one request at its entry."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 from crowrudder_model.messages import SettledState
 
 
-def owner_of(*, idempotent: bool = False) -> RequestOwner:
+def new_owner(*, idempotent: bool = False) -> RequestOwner:
     return RequestOwner('r', entry='e', idempotent=idempotent, deadline=10.0)
 
 
 class TestPermits:
-    """Who may start, and until when."""
+    """Which attempts are permitted to start, and until when."""
 
     def test_only_one_of_two_queued_attempts_starts(self):
-        owner = owner_of()
+        owner = new_owner()
         first, second = owner.open_attempt(), owner.open_attempt()
         assert owner.grant(first, now=1.0)
         assert not owner.grant(second, now=1.0)
 
-    def test_a_doubled_question_is_granted_once(self):
-        owner = owner_of(idempotent=True)
+    def test_duplicate_permit_request_is_granted_once(self):
+        owner = new_owner(idempotent=True)
         key = owner.open_attempt()
         assert owner.grant(key, now=1.0)
         assert not owner.grant(key, now=1.0)
 
-    def test_an_entry_that_wakes_up_late_grants_nothing(self):
-        """Symptom: an attempt starts after its deadline.
+    def test_entry_that_resumes_after_the_deadline_grants_nothing(self):
+        """Guards against an attempt that starts after its deadline.
 
-        Sequence: the agent asks; the entry is paused past the deadline; it
-        wakes up and reads the question before its timer fires.
-        Cause: the deadline was looked at when the question was sent.
+        The agent requests a permit; the entry is paused past the deadline,
+        resumes and reads the request before its timer fires. The deadline was
+        checked only when the request was sent.
         """
-        owner = owner_of()
+        owner = new_owner()
         assert not owner.grant(owner.open_attempt(), now=10.0)
 
-    def test_nothing_is_granted_after_the_final_word(self):
-        owner = owner_of()
+    def test_no_permit_is_granted_after_the_final_outcome(self):
+        owner = new_owner()
         key = owner.open_attempt()
         owner.close(Outcome.NOT_RUN)
         assert not owner.grant(key, now=1.0)
 
-    def test_a_settled_attempt_makes_room_for_another(self):
-        owner = owner_of()
+    def test_settled_attempt_allows_another_permit(self):
+        owner = new_owner()
         first = owner.open_attempt()
         owner.grant(first, now=1.0)
         assert owner.lost(first) == Settle(first)
@@ -59,8 +59,8 @@
         assert owner.settled(first, never) == MoveOn(first)
         assert owner.grant(owner.open_attempt(), now=1.0)
 
-    def test_an_attached_attempt_is_followed(self):
-        owner = owner_of()
+    def test_attached_attempt_keeps_its_permit(self):
+        owner = new_owner()
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
         owner.lost(key)
@@ -69,49 +69,49 @@
 
 
 class TestFinalWord:
-    """What may be said when."""
+    """Outcome that is reported to the caller."""
 
-    def test_not_run_becomes_unknown_while_a_permit_is_out(self):
-        owner = owner_of()
+    def test_not_run_becomes_unknown_while_a_permit_is_outstanding(self):
+        owner = new_owner()
         owner.grant(owner.open_attempt(), now=1.0)
         assert owner.close(Outcome.NOT_RUN) is Outcome.UNKNOWN
 
-    def test_not_run_is_not_said_of_an_idempotent_request_that_ran(self):
-        """Symptom: "not run" for a request that an engine has in its books.
+    def test_not_run_is_not_reported_for_an_idempotent_request_that_ran(self):
+        """Guards against "not run" for a request that an engine has executed.
 
-        Sequence: a repeatable request is granted, its agent dies, the entry
-        moves on; no other replica is left, so the request is given up.
-        Cause: moving on cleared the only trace of the granted attempt.
+        An idempotent request is granted, its agent dies, and the entry retries
+        elsewhere; no other replica is left, so it gives up. The retry cleared
+        the only record of the granted attempt.
         """
-        owner = owner_of(idempotent=True)
+        owner = new_owner(idempotent=True)
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
         owner.lost(key)
         assert owner.settled(key, SettledState.OTHER_INCARNATION) == MoveOn(key)
         assert owner.close(Outcome.NOT_RUN) is Outcome.UNKNOWN
 
-    def test_not_run_is_not_said_after_a_failed_run(self):
-        owner = owner_of(idempotent=True)
+    def test_not_run_is_not_reported_after_a_failed_run(self):
+        owner = new_owner(idempotent=True)
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
         owner.ended(key, Outcome.FAILED)
         assert owner.close(Outcome.NOT_RUN) is Outcome.FAILED
 
-    def test_not_run_is_said_where_the_upstream_refused(self):
-        owner = owner_of()
+    def test_not_run_is_reported_if_the_upstream_refused(self):
+        owner = new_owner()
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
         owner.ended(key, Outcome.NOT_RUN)
         assert owner.close(Outcome.NOT_RUN) is Outcome.NOT_RUN
 
-    def test_there_is_one_final_word(self):
-        owner = owner_of()
+    def test_final_outcome_is_set_once(self):
+        owner = new_owner()
         owner.close(Outcome.FAILED)
         with pytest.raises(InvariantError):
             owner.close(Outcome.ANSWERED)
 
-    def test_an_incarnation_that_is_gone_leaves_it_unknown(self):
-        owner = owner_of()
+    def test_outcome_is_unknown_if_the_incarnation_is_gone(self):
+        owner = new_owner()
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
         owner.lost(key)
--- a/tests/support/claims_world.py
+++ b/tests/support/claims_world.py
@@ -23,7 +23,7 @@
     _claims,
     homes_of,
 )
-from crowrudder_core.requests._homes import MOST_HOMES
+from crowrudder_core.requests._voters import MOST_HOMES
 from crowrudder_model import Outcome
 from crowrudder_model.messages import (
     Attempt,
