--- a/packages/core/src/crowrudder_core/quarantine/__init__.py
+++ b/packages/core/src/crowrudder_core/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the upstreams that run them."""
+"""Quarantine of requests that crash the upstreams that run them."""
 
 from crowrudder_core.quarantine._digest import digest_text, request_digest
 from crowrudder_core.quarantine._quarantine import (
--- a/packages/core/src/crowrudder_core/quarantine/_digest.py
+++ b/packages/core/src/crowrudder_core/quarantine/_digest.py
@@ -1,4 +1,4 @@
-"""Tell whether two requests ask for the same work."""
+"""Digest that identifies requests for the same work."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
     customer: str,
     body: bytes,
 ) -> int:
-    """Give a number that requests for the same work share, whatever their ids.
+    """Compute a digest that is equal for requests for the same work.
 
-    The hash resists collisions made on purpose: a caller can't have another
-    caller's request taken for its own.
+    It doesn't depend on the request id. The hash resists deliberate
+    collisions, so that a caller can't get another caller's request mistaken
+    for its own.
 
     Parameters
     ----------
@@ -37,7 +38,7 @@
     digest = blake2b(digest_size=DIGEST_BYTES)
     for part in (method, host, target, customer):
         text = part.encode(errors='surrogateescape')
-        # With its length, so that no two lists of parts share their bytes.
+        # The length prefix keeps different lists of parts from sharing bytes.
         digest.update(len(text).to_bytes(DIGEST_BYTES))
         digest.update(text)
     digest.update(body)
@@ -45,5 +46,5 @@
 
 
 def digest_text(digest: int) -> str:
-    """Give a digest as logs and answers show it."""
+    """Return a digest as it appears in logs and answers."""
     return f'{digest:0{2 * DIGEST_BYTES}x}'
--- a/packages/core/src/crowrudder_core/quarantine/_ledger.py
+++ b/packages/core/src/crowrudder_core/quarantine/_ledger.py
@@ -1,4 +1,4 @@
-"""The requests that an entry suspects, and those it saw run whole."""
+"""Suspected requests of an entry, and the completed runs that it saw."""
 
 from __future__ import annotations
 
@@ -8,65 +8,65 @@
 
 from crowrudder_core.quarantine._suspect import Suspect
 
-MOST_SUSPECTS = 2048
-"""Requests that are remembered; a domain that loses power implicates
-hundreds, which must not push out those that are convicted."""
+MAX_SUSPECTS = 2048
+"""Maximum number of suspects. A failure domain that loses power implicates
+hundreds of requests, which must not evict quarantined ones."""
 
-MOST_WHOLE = 4096
-"""Requests that are remembered as having run whole."""
+MAX_COMPLETED_RUNS = 4096
+"""Maximum number of requests with a recorded completed run."""
 
 
 @define
 class SuspectLedger:
-    """Suspects by digest, bounded in number and in time."""
+    """Suspects by digest, bounded in number and in age."""
 
     _suspects: OrderedDict[int, Suspect] = field(factory=OrderedDict)
-    _whole: OrderedDict[int, float] = field(factory=OrderedDict)
+    _completed_at: OrderedDict[int, float] = field(factory=OrderedDict)
 
     def get(self, digest: int, *, now: float) -> Suspect | None:
-        """Give what is known of a request; None for nothing that counts."""
+        """Return the suspect record of a request; None if absent or expired."""
         suspect = self._suspects.get(digest)
-        if suspect is not None and suspect.is_over(now):
+        if suspect is not None and suspect.is_expired(now):
             self._suspects.pop(digest)
             return None
         return suspect
 
     def take(self, digest: int, *, now: float) -> Suspect:
-        """Give what is known of a request, to add to it."""
+        """Return the suspect record of a request, created if absent."""
         suspect = self.get(digest, now=now)
         if suspect is None:
             suspect = Suspect()
             self._suspects[digest] = suspect
         self._suspects.move_to_end(digest)
-        suspect.on_whole(self._whole.get(digest, suspect.whole_at))
-        if len(self._suspects) > MOST_SUSPECTS:
-            self._suspects.pop(self._least())
+        suspect.on_whole(self._completed_at.get(digest, suspect.completed_at))
+        if len(self._suspects) > MAX_SUSPECTS:
+            self._suspects.pop(self._to_evict())
         return suspect
 
     def on_whole(self, digest: int, *, now: float) -> Suspect | None:
-        """Note that a run ended whole; give the suspect whom that clears."""
-        self._whole[digest] = now
-        self._whole.move_to_end(digest)
-        if len(self._whole) > MOST_WHOLE:
-            self._whole.popitem(last=False)
+        """Record a completed run; return the suspect that it clears, if any."""
+        self._completed_at[digest] = now
+        self._completed_at.move_to_end(digest)
+        if len(self._completed_at) > MAX_COMPLETED_RUNS:
+            self._completed_at.popitem(last=False)
         suspect = self.get(digest, now=now)
         if suspect is not None:
             suspect.on_whole(now)
         return suspect
 
     def suspects(self, *, now: float) -> dict[int, Suspect]:
-        """Give all of whom something counts."""
-        over = [
+        """Return all suspects that have not expired."""
+        expired = [
             digest
             for digest, suspect in self._suspects.items()
-            if suspect.is_over(now)
+            if suspect.is_expired(now)
         ]
-        for digest in over:
+        for digest in expired:
             self._suspects.pop(digest)
         return dict(self._suspects)
 
-    def _least(self) -> int:
-        """Give the one to forget: the oldest, convicted ones last."""
+    def _to_evict(self) -> int:
+        """Return the digest to evict: the oldest, quarantined ones last."""
         return next(
             (
                 digest
--- a/packages/core/src/crowrudder_core/quarantine/_quarantine.py
+++ b/packages/core/src/crowrudder_core/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""The aggregate that keeps requests from upstreams that end under them."""
+"""Quarantine of requests under which upstreams end."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 from attrs import define, field, frozen
 
 from crowrudder_core.quarantine._ledger import SuspectLedger
-from crowrudder_core.quarantine._suspect import CONVICTING, SHARED, Suspect
+from crowrudder_core.quarantine._suspect import (
+    QUARANTINE_THRESHOLD,
+    SHARING_THRESHOLD,
+    Suspect,
+)
 from crowrudder_core.quarantine._unconfirmed import UnconfirmedEnds
 from crowrudder_model import ranked
 
@@ -18,15 +22,15 @@
 
     from crowrudder_model.messages import SuspectNews, SuspectWord
 
-OWNERS = 2
-"""Entries that add up what others saw of a request; one of them may die."""
+OWNER_COUNT = 2
+"""Entries that add up the reports on a request; one of them may fail."""
 
 MOST_WORDS = 8
-"""Words in one datagram."""
+"""Maximum number of suspicion reports in one datagram."""
 
 
 class Audience(Enum):
-    """Whom a word is for."""
+    """Recipients of a suspicion report."""
 
     OWNERS = 'owners'
     PARTNERS = 'partners'
@@ -34,7 +38,7 @@
 
 @frozen
 class Tell:
-    """Tell other entries what is known of a request."""
+    """Send a suspicion report on a request to other entries."""
 
     word: SuspectWord
     audience: Audience
@@ -42,7 +46,7 @@
 
 @frozen
 class Convicted:
-    """A request is sent to no upstream any more."""
+    """A request is quarantined: it is sent to no upstream any more."""
 
     digest: int
     lives: tuple[str, ...]
@@ -53,60 +57,67 @@
 
 @define
 class Quarantine:
-    """What one entry knows of requests that end their upstreams.
+    """Suspicions and quarantine of requests at one entry.
 
-    A request whose runs end the upstream each time must not be tried until no
-    upstream is left; those that were beside it must not be blamed for long. A
-    run that ends whole clears its request everywhere.
+    Retrying a request that crashes its upstream each time would end one
+    upstream after the other. Requests that ran concurrently with it must not
+    stay suspected for long. A completed run clears its request everywhere.
     """
 
     _ledger: SuspectLedger = field(factory=SuspectLedger)
     _unconfirmed: UnconfirmedEnds = field(factory=UnconfirmedEnds)
 
     def is_convicted(self, digest: int, *, now: float) -> bool:
-        """Whether a request is to be refused."""
+        """Return whether a request is to be refused."""
         suspect = self._ledger.get(digest, now=now)
         return suspect is not None and suspect.is_convicted
 
     def lives_under(self, digest: int, *, now: float) -> tuple[str, ...]:
-        """Give the lives that ended under a request."""
+        """Return the upstream incarnations that ended under a request."""
         suspect = self._ledger.get(digest, now=now)
         return tuple(suspect.ends) if suspect else ()
 
     def may_send_again(self, digest: int, *, now: float) -> bool:
-        """Whether another upstream may be tried after a break.
+        """Return whether the request may be retried at another upstream.
 
-        Counts closes that may still turn out to be something else.
+        Closed connections count as well before their cause is known.
         """
         suspect = self._ledger.get(digest, now=now)
         known = suspect.ends if suspect else {}
         unconfirmed = self._unconfirmed.lives_under(digest, now=now)
         weight = suspect.weight if suspect else 0
-        return weight + len(unconfirmed - known.keys()) < CONVICTING
+        return weight + len(unconfirmed - known.keys()) < QUARANTINE_THRESHOLD
 
     def on_broken(
-        self, digest: int, lives: Iterable[str], *, ran_s: float, now: float
+        self,
+        digest: int,
+        incarnations: Iterable[str],
+        *,
+        ran_s: float,
+        now: float,
     ) -> None:
-        """Take a run whose connection was closed by its upstream."""
-        for life in lives:
-            self._unconfirmed.on_broken(digest, life, ran_s=ran_s, now=now)
-
-    def on_sound(self, life: str, *, as_of: float) -> None:
-        """Take that an upstream is there and lives on."""
-        self._unconfirmed.on_sound(life, as_of=as_of)
-
-    def on_ended(self, life: str, *, now: float) -> list[Effect]:
-        """Take that an upstream's life ended."""
+        """Record a run whose connection was closed by its upstream."""
+        for incarnation in incarnations:
+            self._unconfirmed.on_broken(
+                digest, incarnation, ran_s=ran_s, now=now
+            )
+
+    def on_sound(self, incarnation: str, *, as_of: float) -> None:
+        """Record that an upstream incarnation is alive."""
+        self._unconfirmed.on_sound(incarnation, as_of=as_of)
+
+    def on_ended(self, incarnation: str, *, now: float) -> list[Effect]:
+        """Record that an upstream incarnation ended."""
         effects: list[Effect] = []
-        for digest, end in self._unconfirmed.on_ended(life, now=now):
+        for digest, end in self._unconfirmed.on_ended(incarnation, now=now):
             suspect = self._ledger.take(digest, now=now)
             before = suspect.weight
-            suspect.on_end(life, end)
+            suspect.on_end(incarnation, end)
             effects += _effects(digest, suspect, before, now)
         return effects
 
     def on_whole(self, digest: int, *, now: float) -> list[Effect]:
-        """Take that a run ended whole."""
+        """Record a completed run, which clears the request."""
         suspect = self._ledger.get(digest, now=now)
         before = suspect.weight if suspect else 0
         cleared = self._ledger.on_whole(digest, now=now)
@@ -115,41 +126,43 @@
         return _effects(digest, cleared, before, now)
 
     def on_refused(self, digest: int, *, now: float) -> None:
-        """Take that a convicted request came again."""
+        """Record that a quarantined request arrived again and was refused."""
         self._ledger.take(digest, now=now).refused_at = now
 
     def on_news(self, news: SuspectNews, *, now: float) -> list[Effect]:
-        """Take what another entry tells; what is new to this one goes on."""
+        """Apply reports of another entry; forward those that change the weight."""
         effects: list[Effect] = []
         for word in news.words[:MOST_WORDS]:
             suspect = self._ledger.take(word.digest, now=now)
-            claimed = Suspect()
-            claimed.on_word(word, now=now)
+            reported = Suspect()
+            reported.on_word(word, now=now)
             before = suspect.weight
-            is_news = suspect.on_word(word, now=now)
-            if not is_news and claimed.weight > suspect.weight:
-                # The sender doesn't know of a run that ended whole.
-                before = claimed.weight
+            has_changed = suspect.on_word(word, now=now)
+            if not has_changed and reported.weight > suspect.weight:
+                # The sender lacks a completed run that is known here.
+                before = reported.weight
             effects += _effects(word.digest, suspect, before, now)
         return [each for each in effects if not _is_for_owners(each)]
 
     def reminder(self, random: Random, *, now: float) -> list[SuspectWord]:
-        """Draw some words that all entries are to know.
+        """Return a random sample of the reports that all entries need.
 
-        For entries that start, or that missed the news.
+        It serves entries that start or that missed an update.
         """
-        shared = [
+        shared_suspects = [
             (digest, suspect)
             for digest, suspect in self._ledger.suspects(now=now).items()
-            if suspect.weight >= SHARED
+            if suspect.weight >= SHARING_THRESHOLD
         ]
-        drawn = random.sample(shared, min(len(shared), MOST_WORDS))
-        return [suspect.word(digest, now=now) for digest, suspect in drawn]
+        sampled = random.sample(
+            shared_suspects, min(len(shared_suspects), MOST_WORDS)
+        )
+        return [suspect.word(digest, now=now) for digest, suspect in sampled]
 
 
 def owners(digest: int, entry_ips: Iterable[str]) -> list[str]:
-    """Give the entries that add up what is seen of a request."""
-    return ranked(f'suspect|{digest}', entry_ips)[:OWNERS]
+    """Return the entries that add up the reports on a request."""
+    return ranked(f'suspect|{digest}', entry_ips)[:OWNER_COUNT]
 
 
 def _effects(
@@ -158,10 +171,10 @@
     weight = suspect.weight
     if weight == before:
         return []
-    is_shared = max(weight, before) >= SHARED
-    audience = Audience.PARTNERS if is_shared else Audience.OWNERS
+    is_for_partners = max(weight, before) >= SHARING_THRESHOLD
+    audience = Audience.PARTNERS if is_for_partners else Audience.OWNERS
     effects: list[Effect] = [Tell(suspect.word(digest, now=now), audience)]
-    if before < CONVICTING <= weight:
+    if before < QUARANTINE_THRESHOLD <= weight:
         effects.append(Convicted(digest, tuple(suspect.ends)))
     return effects
 
--- a/packages/core/src/crowrudder_core/quarantine/_unconfirmed.py
+++ b/packages/core/src/crowrudder_core/quarantine/_unconfirmed.py
@@ -1,74 +1,86 @@
-"""Runs whose connection was closed, until it is known whether a life ended."""
+"""Closed connections, until it is known whether the upstream ended."""
 
 from __future__ import annotations
 
 from attrs import define, field, frozen
 
-from crowrudder_core.quarantine._suspect import RAN_ON_S, End
+from crowrudder_core.quarantine._suspect import FRESH_RUN_S, End
 
-SOUND_AFTER_S = 0.5
-"""A word so long after a close that the upstream is there clears its runs.
+ALIVE_AFTER_S = 0.5
+"""A sign of life this long after a close clears the upstream's runs.
 
-An agent tells that its engine is gone after two reads without an answer."""
+An agent reports that its engine is gone after two reads without an answer."""
 
-UNCONFIRMED_S = 6.0
-"""How long a close is remembered of which nobody says what it was; the record
-of an upstream that ended lapses within that."""
+UNCONFIRMED_END_S = 6.0
+"""How long a close of unknown cause is retained; the record of an upstream
+that ended expires within this time."""
 
 
 @frozen
-class _Broken:
+class _ClosedRun:
     digest: int
     end: End
 
 
 @define
 class UnconfirmedEnds:
-    """Runs that broke off, by the upstream's life.
+    """Interrupted runs by upstream incarnation.
 
-    A reset, a truncated answer and a crash look alike to an entry. Only an
-    end of the upstream itself speaks against what it ran.
+    A reset, a truncated answer and a crash look alike to an entry. Only the
+    end of the upstream itself counts against the requests that it ran.
     """
 
-    _broken: dict[str, list[_Broken]] = field(factory=dict)
+    _closed_runs: dict[str, list[_ClosedRun]] = field(factory=dict)
 
     def on_broken(
-        self, digest: int, life: str, *, ran_s: float, now: float
+        self, digest: int, incarnation: str, *, ran_s: float, now: float
     ) -> None:
-        """Take a run whose connection the upstream closed."""
+        """Record a run whose connection the upstream closed."""
         self._forget(now)
-        end = End(now, is_fresh=ran_s <= RAN_ON_S)
-        self._broken.setdefault(life, []).append(_Broken(digest, end))
-
-    def on_ended(self, life: str, *, now: float) -> list[tuple[int, End]]:
-        """Take that a life ended; give the requests that it had."""
+        end = End(now, is_fresh=ran_s <= FRESH_RUN_S)
+        self._closed_runs.setdefault(incarnation, []).append(
+            _ClosedRun(digest, end)
+        )
+
+    def on_ended(
+        self, incarnation: str, *, now: float
+    ) -> list[tuple[int, End]]:
+        """Remove an ended incarnation; return the requests that it ran."""
         self._forget(now)
-        broken = self._broken.pop(life, [])
-        return [(each.digest, each.end) for each in broken]
+        closed_runs = self._closed_runs.pop(incarnation, [])
+        return [(each.digest, each.end) for each in closed_runs]
 
-    def on_sound(self, life: str, *, as_of: float) -> None:
-        """Take that an upstream is there and lives on."""
-        broken = self._broken.get(life)
-        if not broken:
+    def on_sound(self, incarnation: str, *, as_of: float) -> None:
+        """Record that an upstream incarnation is alive, and clear its runs."""
+        closed_runs = self._closed_runs.get(incarnation)
+        if not closed_runs:
             return
-        latest = max(each.end.at for each in broken)
-        if as_of - latest > SOUND_AFTER_S:
-            self._broken.pop(life)
+        latest = max(each.end.at for each in closed_runs)
+        if as_of - latest > ALIVE_AFTER_S:
+            self._closed_runs.pop(incarnation)
 
     def lives_under(self, digest: int, *, now: float) -> set[str]:
-        """Give the lives that may have ended under a request."""
-        if not self._broken:
+        """Return the incarnations that may have ended under a request."""
+        if not self._closed_runs:
             return set()
         self._forget(now)
         return {
-            life
-            for life, broken in self._broken.items()
-            if any(each.digest == digest for each in broken)
+            incarnation
+            for incarnation, closed_runs in self._closed_runs.items()
+            if any(each.digest == digest for each in closed_runs)
         }
 
     def _forget(self, now: float) -> None:
-        kept = {
-            life: [each for each in broken if now - each.end.at < UNCONFIRMED_S]
-            for life, broken in self._broken.items()
+        remaining = {
+            incarnation: [
+                each
+                for each in closed_runs
+                if now - each.end.at < UNCONFIRMED_END_S
+            ]
+            for incarnation, closed_runs in self._closed_runs.items()
+        }
+        self._closed_runs = {
+            incarnation: closed_runs
+            for incarnation, closed_runs in remaining.items()
+            if closed_runs
         }
-        self._broken = {life: broken for life, broken in kept.items() if broken}
--- a/tests/quarantine/test_digest.py
+++ b/tests/quarantine/test_digest.py
@@ -1,4 +1,4 @@
-"""Which requests count as the same work."""
+"""Digests of requests for the same work."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from crowrudder_core.quarantine import digest_text, request_digest
 
-ASKED: dict[str, Any] = {
+REQUEST: dict[str, Any] = {
     'method': 'POST',
     'host': 'shop.example',
     'target': '/draft/a?b=1',
@@ -19,16 +19,16 @@
 
 class TestDigest:
     def test_is_the_same_in_every_process(self):
-        assert digest_text(request_digest(**ASKED)) == '6a51bdd7299920bb'
+        assert digest_text(request_digest(**REQUEST)) == '6a51bdd7299920bb'
 
-    @pytest.mark.parametrize('part', sorted(ASKED))
+    @pytest.mark.parametrize('part', sorted(REQUEST))
     def test_differs_with_each_part(self, part):
-        other = {**ASKED, part: ASKED[part] * 2}
-        assert request_digest(**other) != request_digest(**ASKED)
+        other = {**REQUEST, part: REQUEST[part] * 2}
+        assert request_digest(**other) != request_digest(**REQUEST)
 
-    def test_parts_that_run_into_each_other_are_told_apart(self):
-        moved = {**ASKED, 'target': '/draft/a?b=1shop', 'customer': ''}
-        assert request_digest(**moved) != request_digest(**ASKED)
+    def test_boundaries_between_parts_matter(self):
+        moved = {**REQUEST, 'target': '/draft/a?b=1shop', 'customer': ''}
+        assert request_digest(**moved) != request_digest(**REQUEST)
 
-    def test_takes_bytes_that_are_no_text(self):
-        assert request_digest(**{**ASKED, 'target': '/\udce9'})
+    def test_accepts_undecodable_bytes(self):
+        assert request_digest(**{**REQUEST, 'target': '/\udce9'})
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What convicts a request, what clears it, and whom words reach."""
+"""Quarantine of requests, its end, and the recipients of reports."""
 
 from __future__ import annotations
 
@@ -14,150 +14,152 @@
     Tell,
     owners,
 )
-from crowrudder_core.quarantine._ledger import MOST_SUSPECTS
+from crowrudder_core.quarantine._ledger import MAX_SUSPECTS
 from crowrudder_core.quarantine._suspect import (
-    SUSPECT_S,
-    VERDICT_S,
-    WHOLE_COUNTS_S,
+    COMPLETED_RUN_WINDOW_S,
+    QUARANTINE_S,
+    SUSPICION_S,
 )
-from crowrudder_core.quarantine._unconfirmed import SOUND_AFTER_S
+from crowrudder_core.quarantine._unconfirmed import ALIVE_AFTER_S
 from crowrudder_model.messages import LifeEnd, SuspectNews, SuspectWord
 
 DIGEST = 77
 NOW = 1000.0
 
 
-def end_under(core, digest, life, *, now, ran_s=0.0):
-    core.on_broken(digest, [life], ran_s=ran_s, now=now)
-    return core.on_ended(life, now=now + 0.1)
+def close_and_end(core, digest, incarnation, *, now, ran_s=0.0):
+    core.on_broken(digest, [incarnation], ran_s=ran_s, now=now)
+    return core.on_ended(incarnation, now=now + 0.1)
 
 
-def convicted(core=None, *, now=NOW):
+def quarantined(core=None, *, now=NOW):
     core = core or Quarantine()
-    for life in ('a', 'b', 'c'):
-        end_under(core, DIGEST, life, now=now)
+    for incarnation in ('a', 'b', 'c'):
+        close_and_end(core, DIGEST, incarnation, now=now)
     return core
 
 
-def words_of(effects):
+def reports_of(effects):
     return [each.word for each in effects if isinstance(each, Tell)]
 
 
 class TestVerdict:
-    def test_three_ends_convict(self):
+    def test_three_ends_quarantine_a_request(self):
         core = Quarantine()
-        assert not end_under(core, DIGEST, 'a', now=NOW)[1:]
-        end_under(core, DIGEST, 'b', now=NOW)
+        assert not close_and_end(core, DIGEST, 'a', now=NOW)[1:]
+        close_and_end(core, DIGEST, 'b', now=NOW)
         assert not core.is_convicted(DIGEST, now=NOW + 1)
-        effects = end_under(core, DIGEST, 'c', now=NOW)
+        effects = close_and_end(core, DIGEST, 'c', now=NOW)
         assert Convicted(DIGEST, ('a', 'b', 'c')) in effects
         assert core.is_convicted(DIGEST, now=NOW + 1)
 
-    def test_a_life_ends_once(self):
+    def test_end_of_an_incarnation_counts_once(self):
         core = Quarantine()
         for _ in range(5):
-            end_under(core, DIGEST, 'a', now=NOW)
+            close_and_end(core, DIGEST, 'a', now=NOW)
         assert not core.is_convicted(DIGEST, now=NOW + 1)
 
-    def test_a_reset_of_a_sound_upstream_is_no_end(self):
-        """Guards against blame for connections that are reset."""
+    def test_reset_by_a_live_upstream_is_not_an_end(self):
+        """Guards against suspicion because of connections that are reset."""
         core = Quarantine()
-        for life in ('a', 'b', 'c'):
-            core.on_broken(DIGEST, [life], ran_s=0, now=NOW)
-            core.on_sound(life, as_of=NOW + 2 * SOUND_AFTER_S)
-            assert not core.on_ended(life, now=NOW + 2)
+        for incarnation in ('a', 'b', 'c'):
+            core.on_broken(DIGEST, [incarnation], ran_s=0, now=NOW)
+            core.on_sound(incarnation, as_of=NOW + 2 * ALIVE_AFTER_S)
+            assert not core.on_ended(incarnation, now=NOW + 2)
         assert not core.is_convicted(DIGEST, now=NOW + 2)
 
-    def test_a_word_from_before_the_end_clears_nothing(self):
+    def test_status_from_before_the_end_clears_nothing(self):
         core = Quarantine()
         core.on_broken(DIGEST, ['a'], ran_s=0, now=NOW)
         core.on_sound('a', as_of=NOW + 0.1)
         assert core.on_ended('a', now=NOW + 0.3)
 
-    def test_runs_that_had_gone_on_count_half(self):
+    def test_ends_of_longer_runs_count_half(self):
         core = Quarantine()
-        for life in ('a', 'b', 'c', 'd', 'e'):
-            end_under(core, DIGEST, life, now=NOW, ran_s=2)
+        for incarnation in ('a', 'b', 'c', 'd', 'e'):
+            close_and_end(core, DIGEST, incarnation, now=NOW, ran_s=2)
         assert not core.is_convicted(DIGEST, now=NOW + 1)
-        end_under(core, DIGEST, 'f', now=NOW, ran_s=2)
+        close_and_end(core, DIGEST, 'f', now=NOW, ran_s=2)
         assert core.is_convicted(DIGEST, now=NOW + 1)
 
-    def test_no_third_upstream_is_tried_on_two_ends_that_are_uncertain(self):
+    def test_unconfirmed_ends_prevent_a_further_retry(self):
         core = Quarantine()
-        end_under(core, DIGEST, 'a', now=NOW)
+        close_and_end(core, DIGEST, 'a', now=NOW)
         core.on_broken(DIGEST, ['b'], ran_s=0, now=NOW)
         assert core.may_send_again(DIGEST, now=NOW)
         core.on_broken(DIGEST, ['c'], ran_s=0, now=NOW)
         assert not core.may_send_again(DIGEST, now=NOW)
 
-    def test_it_holds_for_long_after_the_last_refusal(self):
-        core = convicted()
-        core.on_refused(DIGEST, now=NOW + VERDICT_S)
-        assert core.is_convicted(DIGEST, now=NOW + 2 * VERDICT_S - 1)
-        assert not core.is_convicted(DIGEST, now=NOW + 2 * VERDICT_S + 1)
+    def test_quarantine_lasts_from_the_last_refusal(self):
+        core = quarantined()
+        core.on_refused(DIGEST, now=NOW + QUARANTINE_S)
+        assert core.is_convicted(DIGEST, now=NOW + 2 * QUARANTINE_S - 1)
+        assert not core.is_convicted(DIGEST, now=NOW + 2 * QUARANTINE_S + 1)
 
-    def test_ends_that_convict_nobody_are_forgotten(self):
+    def test_ends_below_the_threshold_expire(self):
         core = Quarantine()
-        end_under(core, DIGEST, 'a', now=NOW)
-        end_under(core, DIGEST, 'b', now=NOW)
-        end_under(core, DIGEST, 'c', now=NOW + 2 * SUSPECT_S)
-        assert not core.is_convicted(DIGEST, now=NOW + 2 * SUSPECT_S + 1)
+        close_and_end(core, DIGEST, 'a', now=NOW)
+        close_and_end(core, DIGEST, 'b', now=NOW)
+        close_and_end(core, DIGEST, 'c', now=NOW + 2 * SUSPICION_S)
+        assert not core.is_convicted(DIGEST, now=NOW + 2 * SUSPICION_S + 1)
 
 
 class TestWholeRuns:
-    def test_a_run_that_ends_whole_clears(self):
-        core = convicted()
-        (word,) = words_of(core.on_whole(DIGEST, now=NOW + 1))
+    def test_completed_run_clears_a_request(self):
+        core = quarantined()
+        (word,) = reports_of(core.on_whole(DIGEST, now=NOW + 1))
         assert not core.is_convicted(DIGEST, now=NOW + 1)
-        other = convicted()
+        other = quarantined()
         other.on_news(SuspectNews((word,)), now=NOW + 1)
         assert not other.is_convicted(DIGEST, now=NOW + 1)
 
-    def test_a_request_that_many_make_is_not_blamed_for_a_power_cut(self):
-        """Guards against a refusal of what runs whole many times a second."""
+    def test_frequent_request_is_not_quarantined_after_a_power_failure(self):
+        """Guards against refusing a request that completes many times a second."""
         core = Quarantine()
         core.on_whole(DIGEST, now=NOW)
-        assert not convicted(core, now=NOW + 1).is_convicted(
+        assert not quarantined(core, now=NOW + 1).is_convicted(
             DIGEST, now=NOW + 2
         )
 
-    def test_one_that_ran_whole_long_ago_is_blamed(self):
+    def test_completed_run_of_long_ago_does_not_clear(self):
         core = Quarantine()
         core.on_whole(DIGEST, now=NOW)
-        later = NOW + WHOLE_COUNTS_S + 1
-        assert convicted(core, now=later).is_convicted(DIGEST, now=later + 1)
+        later = NOW + COMPLETED_RUN_WINDOW_S + 1
+        assert quarantined(core, now=later).is_convicted(DIGEST, now=later + 1)
 
-    def test_who_saw_it_run_whole_says_so_to_one_that_convicts(self):
+    def test_entry_that_saw_a_completed_run_reports_it(self):
         core = Quarantine()
         core.on_whole(DIGEST, now=NOW)
-        word = SuspectWord(DIGEST, tuple(LifeEnd(life, 100) for life in 'abc'))
-        (told,) = words_of(core.on_news(SuspectNews((word,)), now=NOW + 1))
-        assert told.whole_ms == 1000
+        word = SuspectWord(
+            DIGEST, tuple(LifeEnd(incarnation, 100) for incarnation in 'abc')
+        )
+        (sent,) = reports_of(core.on_news(SuspectNews((word,)), now=NOW + 1))
+        assert sent.whole_ms == 1000
 
 
 class TestWords:
-    def test_first_ends_go_to_owners_and_further_ones_to_all(self):
+    def test_first_end_is_sent_to_owners_and_further_ones_to_partners(self):
         core = Quarantine()
-        (first,) = end_under(core, DIGEST, 'a', now=NOW)
-        (second,) = end_under(core, DIGEST, 'b', now=NOW)
+        (first,) = close_and_end(core, DIGEST, 'a', now=NOW)
+        (second,) = close_and_end(core, DIGEST, 'b', now=NOW)
         assert first.audience is Audience.OWNERS
         assert second.audience is Audience.PARTNERS
 
-    def test_owners_add_up_what_others_saw(self):
+    def test_owners_add_up_reports_of_others(self):
         owner = Quarantine()
         effects = []
-        for life in ('a', 'b', 'c'):
-            (told,) = end_under(Quarantine(), DIGEST, life, now=NOW)
-            effects += owner.on_news(SuspectNews((told.word,)), now=NOW)
+        for incarnation in ('a', 'b', 'c'):
+            (sent,) = close_and_end(Quarantine(), DIGEST, incarnation, now=NOW)
+            effects += owner.on_news(SuspectNews((sent.word,)), now=NOW)
         assert Convicted(DIGEST, ('a', 'b', 'c')) in effects
 
-    def test_a_word_that_is_not_new_goes_nowhere(self):
-        core = convicted()
+    def test_known_report_is_not_forwarded(self):
+        core = quarantined()
         (word,) = core.reminder(random.Random(1), now=NOW + 1)
         assert not core.on_news(SuspectNews((word,)), now=NOW + 1.01)
 
-    def test_a_process_that_starts_learns_from_a_reminder(self):
-        words = convicted().reminder(random.Random(1), now=NOW + 5)
+    def test_new_process_learns_from_sampled_reports(self):
+        words = quarantined().reminder(random.Random(1), now=NOW + 5)
         other = Quarantine()
         other.on_news(SuspectNews(tuple(words)), now=NOW + 5)
         assert other.is_convicted(DIGEST, now=NOW + 5)
@@ -166,9 +168,9 @@
         ips = [str(number) for number in range(340)]
         assert len(owners(DIGEST, ips)) == 2
 
-    def test_a_domain_without_power_pushes_out_no_verdict(self):
-        core = convicted()
-        for digest in range(1000, 1000 + 2 * MOST_SUSPECTS):
+    def test_power_failure_of_a_domain_evicts_no_quarantined_request(self):
+        core = quarantined()
+        for digest in range(1000, 1000 + 2 * MAX_SUSPECTS):
             core.on_broken(digest, ['z'], ran_s=0, now=NOW)
         core.on_ended('z', now=NOW)
         assert core.is_convicted(DIGEST, now=NOW)
@@ -190,7 +192,9 @@
         whole_ms=st.integers(-(2**40), 2**40),
         refused_ms=st.integers(-(2**40), 2**40),
     )
-    def test_any_numbers_are_borne(self, digest, ends, whole_ms, refused_ms):
+    def test_out_of_range_reports_are_accepted(
+        self, digest, ends, whole_ms, refused_ms
+    ):
         core = Quarantine()
         word = SuspectWord(digest, tuple(ends), whole_ms, refused_ms)
         core.on_news(SuspectNews((word,)), now=NOW)
