--- a/packages/core/src/crowrudder_core/membership/__init__.py
+++ b/packages/core/src/crowrudder_core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: who is there, as far as this process can know."""
+"""Membership: the hosts and entries of the fleet, as known to a process."""
 
 from crowrudder_core.membership._list import DeltaError, MemberList
 from crowrudder_core.membership._neighbours import NEIGHBOURS, neighbours_of
--- a/packages/core/src/crowrudder_core/membership/_list.py
+++ b/packages/core/src/crowrudder_core/membership/_list.py
@@ -1,4 +1,4 @@
-"""The published member list: its editions, and the ways between them."""
+"""The published member list, its editions and the deltas between them."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 if TYPE_CHECKING:
     from crowrudder_model import Member
 
-KEPT_LISTS = 16
-"""Lists that peers may still have; others get the whole."""
+MAX_RETAINED_LISTS = 16
+"""Number of past lists to which deltas are available; others get a full list."""
 
-REBUILT_S = 10.0
-"""How long the platform must tell a lower revision before it is believed."""
+REBUILD_CONFIRM_S = 10.0
+"""How long the platform must report a lower revision before it is accepted."""
 
 Members = tuple['Member', ...]
 
 
 class DeltaError(CrowrudderError):
-    """A change of the member list that doesn't lead to its edition."""
+    """A delta of the member list that doesn't produce its edition."""
 
 
 @frozen
-class _Lower:
-    """A list that the platform gave with too low a revision."""
+class _LowerRevision:
+    """A list from the platform with a lower or conflicting revision."""
 
     members: Members
     revision: int
@@ -38,28 +38,30 @@
 
 @define
 class MemberList:
-    """Keep the newest published list.
+    """The newest published list.
 
     The platform's revision orders the lists until the platform is rebuilt and
-    counts anew. A single lower revision is a stale read; only one that goes
-    on begins a new epoch. Without epochs every host would keep the members of
-    the day of the rebuild; without the wait, a stale replica of the platform
-    would bring replaced hosts back.
+    restarts its count. A single lower revision is a stale read; a lower
+    revision that persists starts a new epoch. Without epochs, every host would
+    keep the members from before the rebuild. Without the wait, a stale replica
+    of the platform would restore replaced hosts.
     """
 
     members: Members = ()
     edition: ListEdition = field(factory=ListEdition)
-    _kept: dict[str, Members] = field(factory=dict)
-    _lower: _Lower | None = None
+    _retained: dict[str, Members] = field(factory=dict)
+    _lower: _LowerRevision | None = None
 
     def on_platform(self, members: Members, revision: int, now: float) -> bool:
-        """Take a list that the platform gave; true when it is now in use."""
+        """Apply a list from the platform; return whether it is now in use."""
         ordered = in_order(members)
         known = self.edition
         digest = digest_of(ordered)
-        is_other = revision == known.revision and digest != known.digest
-        if known.digest and (revision < known.revision or is_other):
-            return self._on_lower(_Lower(ordered, revision, now))
+        is_conflicting = revision == known.revision and digest != known.digest
+        if known.digest and (revision < known.revision or is_conflicting):
+            return self._on_lower_revision(
+                _LowerRevision(ordered, revision, now)
+            )
         self._lower = None
         return self.offer(
             ListEdition(epoch=known.epoch, revision=revision, digest=digest),
@@ -67,9 +69,12 @@
         )
 
     def on_same(self, now: float) -> bool:
-        """Take the platform's word that nothing changed since its answer."""
+        """Record that the platform reports no change since its last answer.
+
+        Return whether a lower revision was thereby confirmed and is now in use.
+        """
         lower = self._lower
-        if lower is None or now - lower.since < REBUILT_S:
+        if lower is None or now - lower.since < REBUILD_CONFIRM_S:
             return False
         self._lower = None
         return self.offer(
@@ -82,26 +87,28 @@
         )
 
     def offer(self, edition: ListEdition, members: Members) -> bool:
-        """Take a list of any origin if it is newer."""
+        """Apply a list from any source if it is newer; return whether it is."""
         if edition <= self.edition:
             return False
         before = self.edition
         self.members = in_order(members)
         self.edition = edition
-        self._kept[edition.digest] = self.members
-        while len(self._kept) > KEPT_LISTS:
-            del self._kept[next(iter(self._kept))]
+        self._retained[edition.digest] = self.members
+        while len(self._retained) > MAX_RETAINED_LISTS:
+            del self._retained[next(iter(self._retained))]
         if self.edition <= before:
-            raise InvariantError('the member list went back', step='members')
+            raise InvariantError(
+                'member list edition did not increase', step='members'
+            )
         return True
 
     def delta_from(self, digest: str) -> MembersDelta | None:
-        """Give the way from a list that a peer has, if it is still known."""
-        base = self._kept.get(digest)
+        """Return the delta from the list that a peer has, None if it is unknown."""
+        base = self._retained.get(digest)
         return None if base is None else _delta(base, self.members)
 
     def whole(self) -> MembersDelta:
-        """Give the way from nothing."""
+        """Return the complete list as a delta."""
         return MembersDelta(put=self.members)
 
     def applied(
@@ -111,27 +118,28 @@
         base: str,
         edition: ListEdition,
     ) -> Members:
-        """Give the list that a peer's delta leads to.
+        """Return the list that results from a peer's delta.
 
         Raises
         ------
         DeltaError
-            when the list it starts from isn't known, or another comes out.
+            if the base list is unknown, or the result isn't the edition.
         """
-        start = self._kept.get(base, ()) if base else ()
-        found = {member.host: member for member in start}
+        base_members = self._retained.get(base, ()) if base else ()
+        by_host = {member.host: member for member in base_members}
         for host in delta.dropped:
-            found.pop(host, None)
-        found.update({member.host: member for member in delta.put})
-        members = in_order(tuple(found.values()))
+            by_host.pop(host, None)
+        by_host.update({member.host: member for member in delta.put})
+        members = in_order(tuple(by_host.values()))
         if digest_of(members) != edition.digest:
             raise DeltaError(
-                f'revision {edition.revision} does not come out; ask for all',
+                f'delta does not produce revision {edition.revision}; '
+                'request the complete list',
                 step='members',
             )
         return members
 
-    def _on_lower(self, lower: _Lower) -> bool:
+    def _on_lower_revision(self, lower: _LowerRevision) -> bool:
         known = self._lower
         if known is None or known.revision != lower.revision:
             self._lower = lower
@@ -140,12 +148,12 @@
 
 
 def in_order(members: Members) -> Members:
-    """Bring a list into the order of its hosts."""
+    """Return a list sorted by host."""
     return tuple(sorted(members, key=lambda member: member.host))
 
 
 def digest_of(members: Members) -> str:
-    """Name a list by its content."""
+    """Compute the digest of a list's content."""
     return xxhash.xxh3_64_hexdigest(msgspec.msgpack.encode(members))
 
 
--- a/packages/core/src/crowrudder_core/membership/_neighbours.py
+++ b/packages/core/src/crowrudder_core/membership/_neighbours.py
@@ -1,4 +1,4 @@
-"""With whom a process exchanges: few, stable, and nobody left out."""
+"""Choice of the peers for gossip: few and stable, and every host is chosen."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     suspects: Collection[str] = (),
     count: int = NEIGHBOURS,
 ) -> list[str]:
-    """Choose the peers that a process calls.
+    """Return the peers that a process calls.
 
-    The first is the next in a ring of all hosts by hash, so that everyone is
-    called by someone; the others are chosen by rendezvous, which makes the
-    whole a random graph: news crosses thousands of hosts in a few hops, and
-    the death of half of them cuts nobody off. A host that comes or goes
-    changes the choice of few, so that connections stay.
+    The first is the successor in a hash ring of all hosts, so that every host
+    is called by some other. The others are chosen by rendezvous hashing, which
+    makes the whole a random graph: updates cross thousands of hosts in a few
+    hops, and the failure of half of the hosts isolates none. A host that joins
+    or leaves changes the choice of few others, so that connections persist.
 
     >>> neighbours_of('a', ['a', 'b'])
     ['b']
@@ -33,14 +33,14 @@
     others = [each for each in hosts if each != host and each not in suspects]
     if len(others) <= count:
         return sorted(others)
-    place = (score('ring', host), host)
-    following = _next_in_ring(place, others)
+    position = (score('ring', host), host)
+    successor = _ring_successor(position, others)
     order = ranked(f'neighbour|{host}', others)
-    chosen = [each for each in order[:count] if each != following]
-    return [following, *chosen[: count - 1]]
+    chosen = [each for each in order[:count] if each != successor]
+    return [successor, *chosen[: count - 1]]
 
 
-def _next_in_ring(place: tuple[int, str], others: list[str]) -> str:
+def _ring_successor(position: tuple[int, str], others: list[str]) -> str:
     ring = [(score('ring', each), each) for each in others]
-    after = [each for each in ring if each > place]
+    after = [each for each in ring if each > position]
     return min(after or ring)[1]
--- a/packages/core/src/crowrudder_core/membership/_partners.py
+++ b/packages/core/src/crowrudder_core/membership/_partners.py
@@ -1,8 +1,8 @@
-"""With whom the processes of a fleet talk: a bounded number, at any size.
+"""Choice of communication partners; their number is bounded at any fleet size.
 
-What goes wrong when everyone tells everyone: messages grow with the square of
-the fleet. 44 entries with 31 agents sent each other 11,500 heartbeats a second
-(worked out from their rates); while a version was spread, the links between
+If every process sends to every other, the number of messages grows with the
+square of the fleet. 44 entries with 31 agents sent 11,500 heartbeats a second
+(computed from their rates); while a version was distributed, the links between
 regions stayed full and half of the streams paused for too long.
 """
 
@@ -18,36 +18,36 @@
     from crowrudder_model.messages import MemberWord
 
 PARTNERS = 7
-"""Entries that an entry sends a heartbeat to, drawn anew each time.
+"""Entries to which an entry sends a heartbeat, sampled anew each time.
 
-All others in a fleet of up to eight. At least one is of another region and
-the rest of the own one where it has so many: bytes between regions are few
-and paid for, and each region has many entries that draw.
+In a fleet of up to eight, these are all others. At least one is in another
+region, and the rest are in the own region if it has enough: bandwidth between
+regions is scarce and billed, and each region has many entries that sample.
 """
 
 NEWS_PARTNERS = 4
-"""Entries of the own region that are told of news at once.
+"""Entries of the own region that are sent an update at once.
 
-Each passes them on once, so that four in a hundred miss them; heartbeats
-tell these.
+Each forwards it once, so that four in a hundred miss it; these receive it by
+heartbeat.
 """
 
 CONTACTS = 3
-"""Entries that an agent stays in touch with; two may die at once."""
+"""Entries with which an agent stays in contact; two may fail at once."""
 
 CLOSE_ENTRIES = 8
-"""Entries of its region that an agent tells of each change of its load.
+"""Entries of its region to which an agent sends each change of its load.
 
-The others hear of it less often, and send requests to other engines first. With
-fewer, more requests go to other regions.
+The others receive load reports less often, and send requests to other engines
+first. With a lower number, more requests go to other regions.
 """
 
 RELAYS = 2
-"""Entries of a region that pass on what others of their region know."""
+"""Entries of a region that relay what the others of their region know."""
 
 
 def hops(others: int) -> int:
-    """Give by how many more hops words travel than in a small fleet.
+    """Return how many more hops a status takes than in a small fleet.
 
     >>> [hops(others) for others in (0, 7, 8, 43, 63, 339)]
     [0, 0, 1, 1, 1, 2]
@@ -63,7 +63,7 @@
 def split_by_region(
     words: list[MemberWord], region: str
 ) -> tuple[list[str], list[str]]:
-    """Give the IP numbers of the own region and of all others."""
+    """Return the IP addresses of the own region and of all others."""
     near = [word.ip for word in words if word.region == region]
     far = [word.ip for word in words if word.region != region]
     return near, far
@@ -72,7 +72,7 @@
 def partners(
     near: list[str], far: list[str], random: Random
 ) -> tuple[list[str], list[str]]:
-    """Draw whom to send the next heartbeat, of the own region and of others."""
+    """Sample the heartbeat recipients in the own region and in others."""
     if len(near) + len(far) <= PARTNERS:
         return near, far
     chosen = drawn(near, PARTNERS - 1, random)
@@ -80,30 +80,31 @@
 
 
 def drawn(ips: list[str], count: int, random: Random) -> list[str]:
-    """Draw some, or give all where there are no more."""
+    """Return a random sample of the addresses, or all if there are no more."""
     return ips if len(ips) <= count else random.sample(ips, count)
 
 
 def contacts(own: str, words: list[MemberWord], region: str) -> list[str]:
-    """Choose the entries that an agent stays in touch with.
+    """Return the entries with which an agent stays in contact.
 
-    Stable while they live, and spread over the entries of the region; where
-    it has none, over all.
+    The choice is stable while they live, and spread over the entries of the
+    region, or over all entries if the region has none.
     """
     near, far = split_by_region(words, region)
     return ranked(f'contact|{own}', near or far)[:CONTACTS]
 
 
 def close_entries(own: str, near: list[str]) -> tuple[list[str], list[str]]:
-    """Split the entries of a region: those close to an agent, and others.
+    """Split the entries of a region into those close to an agent and others.
 
-    Stable while they live, and spread over the entries of the region.
+    The choice is stable while they live, and spread over the entries of the
+    region.
     """
     order = ranked(f'contact|{own}', near)
     return order[:CLOSE_ENTRIES], order[CLOSE_ENTRIES:]
 
 
 def relays(words: list[MemberWord], region: str) -> list[str]:
-    """Choose the entries of a region that pass words on for all of it."""
+    """Return the entries of a region that relay statuses for all of it."""
     near, _ = split_by_region(words, region)
     return ranked(f'relay|{region}', near)[:RELAYS]
--- a/packages/core/src/crowrudder_core/membership/_roster.py
+++ b/packages/core/src/crowrudder_core/membership/_roster.py
@@ -1,4 +1,4 @@
-"""The aggregate that knows the fleet's own entries by their words."""
+"""The entries of the fleet, known by their status messages."""
 
 from __future__ import annotations
 
@@ -18,117 +18,119 @@
 if TYPE_CHECKING:
     from random import Random
 
-LIVE_S = 1.6
-"""Without a word for so long, a process isn't offered to callers any more.
+LIVENESS_TIMEOUT_S = 1.6
+"""A process without a status for this long isn't offered to callers any more.
 
-Heartbeats come every 0.4 s: three may be lost, as datagrams on a full link
-are.
+Heartbeats are sent every 0.4 s; three may be lost, as happens to datagrams on
+a full link.
 """
 
-HOP_S = 0.8
-"""Added for each hop by which words reach everyone in a fleet too large to
-tell everyone: two heartbeats, as the next partner is drawn by chance."""
+HOP_DELAY_S = 0.8
+"""Added to the timeout for each extra hop in a fleet too large to send to
+every entry: two heartbeats, because the next partner is sampled at random."""
 
-REMEMBERED_S = 12.0
-"""Without a word for so long, a process is forgotten.
+RETENTION_S = 12.0
+"""A process without a status for this long is dropped.
 
-It covers a window of the retry budget (10 s), in which the arrivals of a
-process that died still count.
+This covers the window of the retry budget (10 s), in which the arrivals of a
+dead process still count.
 """
 
-MOST_PASSED_ON = 8
-"""Words of others in one heartbeat; it must fit into one datagram."""
+MAX_FORWARDED = 8
+"""Statuses of others in one heartbeat, which must fit into one datagram."""
 
-MOST_SIGHTINGS = 48
-"""The same for sightings, of some 24 bytes each."""
+MAX_LAST_SEEN = 48
+"""The same for last-seen entries, of some 24 bytes each."""
 
 _MS = 1000
 
 
 @define
-class _Heard:
+class _StatusRecord:
     word: MemberWord
-    heard_at: float
+    last_seen_at: float
 
 
 @define
 class Roster:
-    """Entries that this process has heard of, directly or through others.
+    """Entries known to this process, directly or through others.
 
-    Nothing lists the fleet's own processes: they find each other through a
-    few seeds and pass each other's words on. A word carries its age, so that
-    the words of a dead process grow old everywhere, whoever repeats them.
+    No list of the fleet's own processes exists: they discover each other
+    through a few seeds and forward each other's statuses. A status carries its
+    age, so that the status of a dead process expires everywhere, however often
+    it is forwarded.
     """
 
     own: MemberWord
-    _others: dict[str, _Heard] = field(factory=dict)
+    _others: dict[str, _StatusRecord] = field(factory=dict)
 
     def on_word(self, word: MemberWord, age_s: float, *, now: float) -> bool:
-        """Take a word; true when it is a process that wasn't known."""
+        """Apply a status; return whether the process was unknown."""
         if word.ip == self.own.ip and word.role == self.own.role:
             return False
-        if word.role != 'entry' or age_s > REMEMBERED_S:
+        if word.role != 'entry' or age_s > RETENTION_S:
             return False
-        heard_at = now - max(age_s, 0)
+        last_seen_at = now - max(age_s, 0)
         known = self._others.get(word.ip)
-        if known is not None and not _replaces(word, heard_at, known):
+        if known is not None and not _supersedes(word, last_seen_at, known):
             return False
-        self._others[word.ip] = _Heard(word, heard_at)
+        self._others[word.ip] = _StatusRecord(word, last_seen_at)
         return known is None
 
     def on_sighting(self, sighting: Sighting, *, now: float) -> bool:
-        """Take how lately an entry was heard of; true for one to be asked.
+        """Apply a last-seen entry; return whether the full status is to be requested.
 
-        Its whole word isn't known here: it is new, or lives anew.
+        This is so if the status is unknown here, because the entry is new or
+        has restarted.
         """
         if sighting.ip == self.own.ip and self.own.role == 'entry':
             return False
-        heard_at = now - max(sighting.age_ms, 0) / _MS
+        last_seen_at = now - max(sighting.age_ms, 0) / _MS
         known = self._others.get(sighting.ip)
         if known is None or life_of(known.word) != sighting.life:
-            is_later = known is None or heard_at > known.heard_at
-            return is_later and now - heard_at <= self._live_s
-        if heard_at > known.heard_at:
+            is_later = known is None or last_seen_at > known.last_seen_at
+            return is_later and now - last_seen_at <= self._liveness_timeout_s
+        if last_seen_at > known.last_seen_at:
             word = replace(
                 known.word, ready=sighting.ready, leaving=sighting.leaving
             )
-            self._others[sighting.ip] = _Heard(word, heard_at)
+            self._others[sighting.ip] = _StatusRecord(word, last_seen_at)
         return False
 
     def sightings(
         self, random: Random, *, now: float, region: str | None = None
     ) -> tuple[Sighting, ...]:
-        """Say how lately live entries were heard of, or those of a region."""
+        """Return a sample of last-seen entries of live entries, or of a region's."""
         live = [
-            heard
-            for heard in self._live(now)
-            if region is None or heard.word.region == region
+            record
+            for record in self._live(now)
+            if region is None or record.word.region == region
         ]
-        drawn = random.sample(live, min(len(live), MOST_SIGHTINGS))
-        return tuple(_sighting(heard, now) for heard in drawn)
+        sampled = random.sample(live, min(len(live), MAX_LAST_SEEN))
+        return tuple(_last_seen_entry(record, now) for record in sampled)
 
     def entries(self, *, now: float) -> list[MemberWord]:
-        """List the live entries, the own process included."""
-        live = [heard.word for heard in self._live(now)]
+        """Return the live entries, including the own process."""
+        live = [record.word for record in self._live(now)]
         return [self.own, *live] if self.own.role == 'entry' else live
 
     def known(self, *, now: float) -> list[MemberWord]:
-        """List all other entries not yet forgotten, live or not."""
+        """Return all other entries that haven't expired, live or not."""
         self._others = {
-            ip: heard
-            for ip, heard in self._others.items()
-            if now - heard.heard_at <= REMEMBERED_S
+            ip: record
+            for ip, record in self._others.items()
+            if now - record.last_seen_at <= RETENTION_S
         }
-        return [heard.word for heard in self._others.values()]
+        return [record.word for record in self._others.values()]
 
     def knows(self, ip: str, *, now: float) -> bool:
-        """Whether a host is another entry that isn't forgotten yet."""
+        """Return whether a host is another entry that hasn't expired."""
         return any(word.ip == ip for word in self.known(now=now))
 
     def budget_share(self, *, now: float) -> float:
-        """Give this entry's part of what all entries may do together.
+        """Return this entry's share of the budget of all entries.
 
-        Entries that died a short while ago count as well: what they did is
+        Entries that died recently count as well, because their requests are
         still in the window.
         """
         return 1 / (len(self.known(now=now)) + 1)
@@ -136,44 +138,47 @@
     def to_pass_on(
         self, random: Random, *, now: float
     ) -> tuple[HeardWord, ...]:
-        """Draw some words for a heartbeat, live ones only."""
+        """Return a random sample of live statuses for a heartbeat."""
         live = self._live(now)
-        drawn = random.sample(live, min(len(live), MOST_PASSED_ON))
+        sampled = random.sample(live, min(len(live), MAX_FORWARDED))
         return tuple(
-            HeardWord(heard.word, now - heard.heard_at) for heard in drawn
+            HeardWord(record.word, now - record.last_seen_at)
+            for record in sampled
         )
 
     @property
-    def _live_s(self) -> float:
-        return LIVE_S + HOP_S * hops(len(self._others))
+    def _liveness_timeout_s(self) -> float:
+        return LIVENESS_TIMEOUT_S + HOP_DELAY_S * hops(len(self._others))
 
-    def _live(self, now: float) -> list[_Heard]:
-        live_s = self._live_s
+    def _live(self, now: float) -> list[_StatusRecord]:
+        timeout_s = self._liveness_timeout_s
         return [
-            heard
-            for heard in self._others.values()
-            if now - heard.heard_at <= live_s
+            record
+            for record in self._others.values()
+            if now - record.last_seen_at <= timeout_s
         ]
 
     def set_own(self, *, ready: bool, leaving: bool) -> bool:
-        """Change the own word; true when it is another one now."""
+        """Set the own status; return whether it changed."""
         before = self.own
         self.own = replace(before, ready=ready, leaving=leaving)
         return self.own != before
 
 
-def _sighting(heard: _Heard, now: float) -> Sighting:
-    word = heard.word
+def _last_seen_entry(record: _StatusRecord, now: float) -> Sighting:
+    word = record.word
     return Sighting(
         ip=word.ip,
         life=life_of(word),
-        age_ms=int(max(now - heard.heard_at, 0) * _MS),
+        age_ms=int(max(now - record.last_seen_at, 0) * _MS),
         ready=word.ready,
         leaving=word.leaving,
     )
 
 
-def _replaces(word: MemberWord, heard_at: float, known: _Heard) -> bool:
+def _supersedes(
+    word: MemberWord, last_seen_at: float, known: _StatusRecord
+) -> bool:
     if word.incarnation != known.word.incarnation:
         return word.started_at > known.word.started_at
-    return heard_at > known.heard_at
+    return last_seen_at > known.last_seen_at
--- a/packages/core/src/crowrudder_core/membership/_view.py
+++ b/packages/core/src/crowrudder_core/membership/_view.py
@@ -1,4 +1,4 @@
-"""The aggregate that combines the published list with peers' own word."""
+"""The published member list combined with status updates of processes."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     from crowrudder_core.membership._word import OwnWord
     from crowrudder_model import Member
 
-FAILURES = 2
-"""Failed calls in a row after which a peer is suspected."""
+FAILURES_TO_SUSPECT = 2
+"""Consecutive failed calls after which a peer is suspected."""
 
-MOST_NEWS = 4096
-TELLINGS = 30
-"""How often a process passes a piece of news on; enough for thousands."""
+MAX_STATUSES = 4096
+MAX_SENDS_PER_STATUS = 30
+"""How often a process forwards a status; sufficient for thousands of hosts."""
 
-NEWS_AT_ONCE = 8
+MAX_STATUSES_PER_MESSAGE = 8
 _SEVERITY = {'live': 0, 'suspect': 1, 'leaving': 2}
 
 
 @frozen(kw_only=True)
 class Heard:
-    """What a piece of news did here.
+    """Effect of a status update on the view.
 
-    ``is_new`` tells that the picture changed, ``urgent`` that others should
-    know at once: one that leaves must get no new work. Suspicions wait for the
-    next exchange, as a cut link brings hundreds of them.
+    ``is_new`` tells that the view changed, ``urgent`` that others are to be
+    notified at once: a leaving process must get no new work. Suspicions wait
+    for the next exchange, because a broken link causes hundreds of them.
     """
 
     is_new: bool = False
@@ -40,40 +40,43 @@
 
 
 @define
-class _Told:
+class _StatusRecord:
     news: ProcessNews
-    tellings: int = 0
+    send_count: int = 0
 
 
 @define
 class MembershipView:
-    """Who is there, as far as this process can know.
+    """Members of the fleet and their states, as known to this process.
 
-    The published list says who belongs to the fleet; a host that isn't in it
-    gets no work. A process's own word, streams and failed calls say sooner
-    that a member leaves or may be dead. A suspicion names the life and beat
-    that it is about, so that the next word of the process itself ends it.
+    The published list defines the members; a host that isn't in it gets no
+    work. A process's own status, streams and failed calls show sooner that a
+    member leaves or may be dead. A suspicion names the incarnation and the
+    sequence number that it refers to, so that the next status of the process
+    itself ends it.
     """
 
     own: OwnWord
     published: MemberList = field(factory=MemberList)
-    _told: dict[str, _Told] = field(factory=dict)
-    _failed: dict[str, int] = field(factory=dict)
+    _records: dict[str, _StatusRecord] = field(factory=dict)
+    _failure_counts: dict[str, int] = field(factory=dict)
 
     def members(self) -> Members:
-        """Give the members, leaving ones marked as such."""
-        return tuple(self._corrected(each) for each in self.published.members)
+        """Return the members, with leaving ones marked as such."""
+        return tuple(
+            self._with_current_state(each) for each in self.published.members
+        )
 
     def suspects(self) -> frozenset[str]:
-        """Name the hosts that may be dead: choose others where you can."""
+        """Return the hosts that may be dead; others are preferred where possible."""
         return frozenset(
             host
-            for host, told in self._told.items()
-            if told.news.state == 'suspect'
+            for host, record in self._records.items()
+            if record.news.state == 'suspect'
         )
 
     def on_list(self) -> bool:
-        """Hold the own word against a new list; true if it changed."""
+        """Apply a new list to the own status; return whether the status changed."""
         own = next(
             (
                 member.rpc_address
@@ -85,90 +88,102 @@
         return self.own.on_listed(own)
 
     def on_news(self, news: ProcessNews) -> Heard:
-        """Take a word about a process, its own or a peer's."""
+        """Apply a status of this process or of a peer."""
         if news.host == self.own.host:
             before = self.own.state
             changed = self.own.on_heard(news)
             return Heard(is_new=changed, urgent=before != self.own.state)
-        known = self._told.get(news.host)
-        if known is not None and not _beats(news, known.news):
+        known = self._records.get(news.host)
+        if known is not None and not _supersedes(news, known.news):
             return Heard()
         states = {known.news.state if known else 'live', news.state}
-        self._tell(news)
+        self._record(news)
         return Heard(
             is_new=len(states) > 1,
             urgent=len(states) > 1 and 'leaving' in states,
         )
 
     def on_call_answered(self, host: str) -> None:
-        """Take note that a host answered a call of this process."""
-        self._failed.pop(host, None)
+        """Record that a host answered a call of this process."""
+        self._failure_counts.pop(host, None)
 
     def on_call_failed(self, host: str) -> Heard:
-        """Take note of a failed call; several in a row are a suspicion."""
-        failures = self._failed.get(host, 0) + 1
-        self._failed[host] = failures
-        known = self._told.get(host)
-        if failures < FAILURES or (known and known.news.state != 'live'):
+        """Record a failed call; consecutive failures raise a suspicion."""
+        failures = self._failure_counts.get(host, 0) + 1
+        self._failure_counts[host] = failures
+        known = self._records.get(host)
+        if failures < FAILURES_TO_SUSPECT or (
+            known and known.news.state != 'live'
+        ):
             return Heard()
-        word = known.news if known else None
-        self._tell(
+        status = known.news if known else None
+        self._record(
             ProcessNews(
                 host=host,
-                incarnation=word.incarnation if word else '',
-                beat=word.beat if word else 0,
+                incarnation=status.incarnation if status else '',
+                beat=status.beat if status else 0,
                 state='suspect',
             )
         )
         return Heard(is_new=True)
 
     def to_tell(self, peer: str) -> tuple[ProcessNews, ...]:
-        """Choose the news for a message to a peer, and count the telling.
+        """Return the statuses for a message to a peer, and count them as sent.
 
-        The peer always hears what is said of itself: it may refute it. The
-        rest goes least told first, a bounded number of times each, so that
-        the size of messages doesn't follow the size of the fleet.
+        A suspicion or leaving state of the peer itself is always included, so
+        that the peer can refute it. The others are sent in order of how rarely
+        they were sent, a bounded number of times each, so that the size of
+        messages doesn't depend on the size of the fleet.
         """
-        about = self._told.get(peer)
-        chosen = [about] if about and about.news.state != 'live' else []
-        for fresh in self._least_told(NEWS_AT_ONCE - len(chosen), about):
-            fresh.tellings += 1
-            chosen.append(fresh)
-        return tuple(told.news for told in chosen)
-
-    def _least_told(self, count: int, about: _Told | None) -> list[_Told]:
-        fresh = (
-            told
-            for told in self._told.values()
-            if told.tellings < TELLINGS and told is not about
+        about_peer = self._records.get(peer)
+        chosen = (
+            [about_peer]
+            if about_peer and about_peer.news.state != 'live'
+            else []
+        )
+        for pending in self._least_sent(
+            MAX_STATUSES_PER_MESSAGE - len(chosen), about_peer
+        ):
+            pending.send_count += 1
+            chosen.append(pending)
+        return tuple(record.news for record in chosen)
+
+    def _least_sent(
+        self, count: int, about_peer: _StatusRecord | None
+    ) -> list[_StatusRecord]:
+        pending = (
+            record
+            for record in self._records.values()
+            if record.send_count < MAX_SENDS_PER_STATUS
+            and record is not about_peer
         )
-        return sorted(fresh, key=lambda told: told.tellings)[:count]
+        return sorted(pending, key=lambda record: record.send_count)[:count]
 
-    def _tell(self, news: ProcessNews) -> None:
-        self._told.pop(news.host, None)
-        self._told[news.host] = _Told(news)
-        if len(self._told) > MOST_NEWS:
-            self._forget()
+    def _record(self, news: ProcessNews) -> None:
+        self._records.pop(news.host, None)
+        self._records[news.host] = _StatusRecord(news)
+        if len(self._records) > MAX_STATUSES:
+            self._evict()
 
-    def _forget(self) -> None:
-        """Drop the oldest news, of hosts outside the list first."""
+    def _evict(self) -> None:
+        """Drop the oldest status, of unlisted hosts first."""
         listed = {member.host for member in self.published.members}
-        outside = (host for host in self._told if host not in listed)
-        del self._told[next(outside, next(iter(self._told)))]
+        unlisted = (host for host in self._records if host not in listed)
+        del self._records[next(unlisted, next(iter(self._records)))]
 
-    def _corrected(self, member: Member) -> Member:
+    def _with_current_state(self, member: Member) -> Member:
         if member.host == self.own.host:
             is_leaving = self.own.state == 'leaving'
         else:
-            told = self._told.get(member.host)
-            is_leaving = told is not None and told.news.state == 'leaving'
+            record = self._records.get(member.host)
+            is_leaving = record is not None and record.news.state == 'leaving'
         if not is_leaving or member.state == 'leaving':
             return member
         return attrs.evolve(member, state='leaving')
 
 
-def _beats(news: ProcessNews, known: ProcessNews) -> bool:
-    """Order words about a host: the beat, then the graver one."""
+def _supersedes(news: ProcessNews, known: ProcessNews) -> bool:
+    """Return whether a status is newer, or more severe with an equal number."""
     if news.beat != known.beat:
         return news.beat > known.beat
     return _SEVERITY[news.state] > _SEVERITY[known.state]
--- a/packages/core/src/crowrudder_core/membership/_word.py
+++ b/packages/core/src/crowrudder_core/membership/_word.py
@@ -1,4 +1,4 @@
-"""The own word of a process about itself, and who contradicts it."""
+"""The status of this process, and conflicts with another incarnation."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 @define
 class OwnWord:
-    """What a process says of itself, stronger than what is said of it.
-
-    Two things go wrong without it. A replaced host whose clock is behind says
-    `live` with a lower beat than the last life's `leaving`, and gets no work:
-    so a process outbids what it hears of other lives. And a process that was
-    frozen while its host was given to a successor wakes up and says that it
-    is the host: so it gives way as long as the member list names another
-    address than its own. The list decides, not the clocks.
+    """Status of this process, which overrides what peers report of it.
+
+    It prevents two faults. A replaced host whose clock is behind reports `live`
+    with a lower sequence number than the `leaving` of the previous incarnation,
+    and gets no work; a process therefore exceeds the sequence number that it
+    receives of other incarnations. A process that was paused while its host was
+    assigned to a successor resumes and claims to be the host; it therefore
+    yields as long as the member list names another address than its own. The
+    list decides, not the clocks.
     """
 
     host: str
@@ -24,25 +25,25 @@
     address: str
     beat: int
     is_leaving: bool = False
-    rival: ProcessNews | None = None
-    listed: str = ''
+    rival_status: ProcessNews | None = None
+    listed_address: str = ''
 
     @property
-    def gives_way(self) -> bool:
-        """Whether another life of this host has its place."""
-        return self.rival is not None and self._is_listed_elsewhere
+    def has_yielded(self) -> bool:
+        """Whether this process yields to another incarnation of its host."""
+        return self.rival_status is not None and self._is_listed_elsewhere
 
     @property
     def state(self) -> ProcessState:
-        """What this process says that it does."""
-        return 'leaving' if self.is_leaving or self.gives_way else 'live'
+        """State that this process reports."""
+        return 'leaving' if self.is_leaving or self.has_yielded else 'live'
 
     @property
     def news(self) -> ProcessNews:
-        """Give the word as it is sent.
+        """Status as it is sent.
 
-        One that gives way says nothing against the other life: its word has
-        the beat that the other has outbid.
+        A process that yields doesn't contradict the other incarnation: its
+        sequence number is one that the other has exceeded.
         """
         return ProcessNews(
             host=self.host,
@@ -52,38 +53,41 @@
         )
 
     def leave(self) -> None:
-        """Say from now on that this process takes no new work."""
+        """Report from now on that this process accepts no new work."""
         self.is_leaving = True
         self.beat += 1
 
     def on_listed(self, address: str) -> bool:
-        """Take the address that the list has for this host, or none."""
+        """Apply the listed address of this host, empty if it isn't listed.
+
+        Return whether the status changed.
+        """
         before = self.news
-        self.listed = address
-        self._settle_rival()
+        self.listed_address = address
+        self._resolve_rival()
         return self.news != before
 
     def on_heard(self, news: ProcessNews) -> bool:
-        """Answer what a peer heard of this host; true if the word changed."""
+        """Apply a status of this host from a peer; return whether the own changed."""
         before = self.news
-        if news.beat < self.beat or self._is_agreed(news):
+        if news.beat < self.beat or self._matches_own(news):
             return False
         if news.incarnation in {self.incarnation, ''}:
             self.beat = news.beat + 1
         else:
-            self.rival = news
-            self._settle_rival()
+            self.rival_status = news
+            self._resolve_rival()
         return self.news != before
 
     @property
     def _is_listed_elsewhere(self) -> bool:
-        return self.listed not in {'', self.address}
+        return self.listed_address not in {'', self.address}
 
-    def _settle_rival(self) -> None:
-        if self.rival is not None and not self._is_listed_elsewhere:
-            self.beat = max(self.beat, self.rival.beat) + 1
-            self.rival = None
+    def _resolve_rival(self) -> None:
+        if self.rival_status is not None and not self._is_listed_elsewhere:
+            self.beat = max(self.beat, self.rival_status.beat) + 1
+            self.rival_status = None
 
-    def _is_agreed(self, news: ProcessNews) -> bool:
+    def _matches_own(self, news: ProcessNews) -> bool:
         own = (self.incarnation, self.beat, self.state)
         return own == (news.incarnation, news.beat, news.state)
--- a/tests/membership/test_list.py
+++ b/tests/membership/test_list.py
@@ -1,4 +1,4 @@
-"""The published list: lagging both ways, rebuilt, and sent as changes."""
+"""The published list: stale reads, rebuilds and deltas."""
 
 from __future__ import annotations
 
@@ -12,76 +12,78 @@
 NEW = fleet(4)
 
 
-def listed(*steps: tuple[tuple, int, float]) -> MemberList:
-    found = MemberList()
+def list_after(*steps: tuple[tuple, int, float]) -> MemberList:
+    member_list = MemberList()
     for members, revision, now in steps:
-        found.on_platform(members, revision, now)
-    return found
+        member_list.on_platform(members, revision, now)
+    return member_list
 
 
 class TestRevisions:
-    def test_newer_is_taken(self) -> None:
-        assert listed((OLD, 1, 0), (NEW, 2, 1)).members == NEW
-
-    def test_stale_read_brings_nobody_back(self) -> None:
-        """A replica of the platform lags; the next read is right again."""
-        found = listed((NEW, 9, 0), (OLD, 8, 1), (NEW, 9, 12), (OLD, 8, 13))
-        assert found.members == NEW
-        assert found.edition.epoch == 0
-
-    def test_rebuilt_platform_is_followed_after_a_while(self) -> None:
-        """Symptom: the fleet keeps the members of the day of a rebuild."""
-        found = listed((OLD, 900, 0), (NEW, 1, 1))
-        assert not found.on_same(5)
-        assert found.members == OLD
-        assert found.on_same(11)
-        assert found.members == NEW
-        found.on_platform(OLD, 2, 12)
-        assert found.edition == ListEdition(
-            epoch=1, revision=2, digest=found.edition.digest
+    def test_newer_list_is_applied(self) -> None:
+        assert list_after((OLD, 1, 0), (NEW, 2, 1)).members == NEW
+
+    def test_stale_read_restores_no_member(self) -> None:
+        """A replica of the platform lags; the next read is current again."""
+        member_list = list_after(
+            (NEW, 9, 0), (OLD, 8, 1), (NEW, 9, 12), (OLD, 8, 13)
+        )
+        assert member_list.members == NEW
+        assert member_list.edition.epoch == 0
+
+    def test_rebuilt_platform_is_followed_after_confirmation(self) -> None:
+        """Guards against a fleet that keeps the members from before a rebuild."""
+        member_list = list_after((OLD, 900, 0), (NEW, 1, 1))
+        assert not member_list.on_same(5)
+        assert member_list.members == OLD
+        assert member_list.on_same(11)
+        assert member_list.members == NEW
+        member_list.on_platform(OLD, 2, 12)
+        assert member_list.edition == ListEdition(
+            epoch=1, revision=2, digest=member_list.edition.digest
         )
 
     def test_first_list_may_have_any_revision(self) -> None:
-        assert listed((OLD, 0, 0)).members == OLD
+        assert list_after((OLD, 0, 0)).members == OLD
 
     def test_same_revision_with_other_members_is_a_rebuild(self) -> None:
-        found = listed((OLD, 7, 0), (NEW, 7, 1), (NEW, 7, 12))
-        assert found.members == NEW
+        member_list = list_after((OLD, 7, 0), (NEW, 7, 1), (NEW, 7, 12))
+        assert member_list.members == NEW
 
-    def test_peer_after_the_rebuild_beats_one_before(self) -> None:
-        before = listed((OLD, 900, 0))
-        after = listed((OLD, 900, 0), (NEW, 1, 1), (NEW, 1, 12))
+    def test_list_after_the_rebuild_supersedes_one_before(self) -> None:
+        before = list_after((OLD, 900, 0))
+        after = list_after((OLD, 900, 0), (NEW, 1, 1), (NEW, 1, 12))
         assert before.offer(after.edition, after.members)
         assert not after.offer(ListEdition(epoch=0, revision=901), OLD)
 
 
 class TestDeltas:
     def test_leads_to_the_same_list(self) -> None:
-        giver = listed((OLD, 1, 0), (NEW[1:], 2, 1))
-        taker = listed((OLD, 1, 0))
-        delta = giver.delta_from(taker.edition.digest)
+        sender = list_after((OLD, 1, 0), (NEW[1:], 2, 1))
+        receiver = list_after((OLD, 1, 0))
+        delta = sender.delta_from(receiver.edition.digest)
         assert delta is not None
         assert delta == MembersDelta(put=NEW[3:], dropped=(NEW[0].host,))
-        members = taker.applied(
-            delta, base=taker.edition.digest, edition=giver.edition
+        members = receiver.applied(
+            delta, base=receiver.edition.digest, edition=sender.edition
         )
-        assert members == giver.members
+        assert members == sender.members
 
-    def test_unknown_base_gives_no_delta(self) -> None:
-        assert listed((OLD, 1, 0)).delta_from('other') is None
+    def test_unknown_base_yields_no_delta(self) -> None:
+        assert list_after((OLD, 1, 0)).delta_from('other') is None
 
-    def test_delta_against_another_list_is_refused(self) -> None:
-        giver = listed((OLD, 1, 0), (NEW, 2, 1))
-        delta = giver.delta_from(listed((OLD, 1, 0)).edition.digest)
+    def test_delta_against_another_list_is_rejected(self) -> None:
+        sender = list_after((OLD, 1, 0), (NEW, 2, 1))
+        delta = sender.delta_from(list_after((OLD, 1, 0)).edition.digest)
         assert delta is not None
         with pytest.raises(DeltaError):
-            listed((OLD[1:], 1, 0)).applied(
-                delta, base='other', edition=giver.edition
+            list_after((OLD[1:], 1, 0)).applied(
+                delta, base='other', edition=sender.edition
             )
 
-    def test_old_lists_are_forgotten(self) -> None:
-        found = MemberList()
+    def test_old_lists_are_evicted(self) -> None:
+        member_list = MemberList()
         for revision in range(40):
-            found.on_platform((member(f'host-{revision}'),), revision, 0)
-        first = listed(((member('host-0'),), 0, 0))
-        assert found.delta_from(first.edition.digest) is None
+            member_list.on_platform((member(f'host-{revision}'),), revision, 0)
+        first = list_after(((member('host-0'),), 0, 0))
+        assert member_list.delta_from(first.edition.digest) is None
--- a/tests/membership/test_neighbours.py
+++ b/tests/membership/test_neighbours.py
@@ -1,4 +1,4 @@
-"""With whom processes exchange: nobody left out, whoever dies."""
+"""Gossip neighbours: all hosts are reached, also after failures."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def reached(links: dict[str, list[str]], start: str) -> tuple[int, int]:
-    """Count the hosts that a push reaches, and its hops."""
-    seen, front, hops = {start}, [start], 0
-    while front:
-        told = {peer for host in front for peer in links[host]}
-        front = sorted(told - seen)
-        seen.update(front)
-        hops += bool(front)
+    """Count the hosts that an update reaches, and its hops."""
+    seen, frontier, hops = {start}, [start], 0
+    while frontier:
+        receivers = {peer for host in frontier for peer in links[host]}
+        frontier = sorted(receivers - seen)
+        seen.update(frontier)
+        hops += bool(frontier)
     return len(seen), hops
 
 
@@ -27,24 +27,24 @@
 
 
 class TestNeighbours:
-    def test_few_and_never_oneself(self) -> None:
+    def test_few_neighbours_and_never_the_host_itself(self) -> None:
         for host, peers in links_of(HOSTS).items():
             assert len(set(peers)) == NEIGHBOURS
             assert host not in peers
 
-    def test_everyone_is_called_by_someone(self) -> None:
+    def test_every_host_is_called_by_some_host(self) -> None:
         called = Counter(
             peer for peers in links_of(HOSTS).values() for peer in peers
         )
         assert called.keys() == set(HOSTS)
 
-    def test_a_push_reaches_all_in_few_hops(self) -> None:
+    def test_update_reaches_all_hosts_in_few_hops(self) -> None:
         count, hops = reached(links_of(HOSTS), HOSTS[0])
         assert count == len(HOSTS)
         assert hops <= 7
 
-    def test_half_of_the_hosts_die(self) -> None:
-        """Before anyone suspects anyone, most are still reached at once."""
+    def test_update_reaches_most_hosts_if_half_of_them_die(self) -> None:
+        """Before any suspicion is raised, most hosts are still reached."""
         dead = set(Random(1).sample(HOSTS, len(HOSTS) // 2))
         links = {
             host: [peer for peer in peers if peer not in dead]
@@ -58,7 +58,7 @@
         }
         assert reached(chosen, alive[0])[0] == len(alive)
 
-    def test_a_host_that_comes_moves_few_links(self) -> None:
+    def test_joining_host_changes_few_links(self) -> None:
         before, after = links_of(HOSTS), links_of([*HOSTS, 'host-new'])
         moved = sum(len(set(after[host]) - set(before[host])) for host in HOSTS)
         assert moved < 3 * NEIGHBOURS
--- a/tests/membership/test_news_machine.py
+++ b/tests/membership/test_news_machine.py
@@ -1,4 +1,4 @@
-"""Words in any order, lost, doubled and late: all end with the truth."""
+"""Convergence of the views under reordered, lost, duplicated and late statuses."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
     def __init__(self) -> None:
         super().__init__()
         self.listed = fleet(HOSTS)
-        self.lives = 0
+        self.incarnations = 0
         self.views = [self.start(host, beat=0) for host in range(HOSTS)]
         self.in_flight: list[tuple[int, ProcessNews]] = []
-        self.beats = [0] * HOSTS
+        self.last_beats = [0] * HOSTS
 
     def start(self, host: int, *, beat: int) -> MembershipView:
-        self.lives += 1
+        self.incarnations += 1
         member = self.listed[host]
-        word = OwnWord(
-            member.host, f'life-{self.lives}', member.rpc_address, beat
+        own_status = OwnWord(
+            member.host, f'life-{self.incarnations}', member.rpc_address, beat
         )
-        view = MembershipView(word)
+        view = MembershipView(own_status)
         view.published.on_platform(self.listed, 1, 0)
         view.on_list()
         return view
 
     @rule(host=hosts, beat=st.integers(0, 30))
     def replace(self, host: int, beat: int) -> None:
-        """Start a new life whose clock may be behind the last one's."""
+        """Start a new incarnation whose clock may be behind the last one's."""
         self.views[host] = self.start(host, beat=beat)
-        self.beats[host] = 0
+        self.last_beats[host] = 0
 
     @rule(host=hosts)
     def leave(self, host: int) -> None:
         self.views[host].own.leave()
 
     @rule(host=hosts, peer=hosts)
-    def lose_calls(self, host: int, peer: int) -> None:
+    def fail_calls(self, host: int, peer: int) -> None:
         if host != peer:
             for _ in range(2):
                 self.views[host].on_call_failed(self.listed[peer].host)
@@ -55,42 +55,42 @@
     @rule(sender=hosts, receiver=hosts)
     def send(self, sender: int, receiver: int) -> None:
         view = self.views[sender]
-        told = view.to_tell(self.listed[receiver].host)
-        self.in_flight.extend((receiver, news) for news in told)
+        sent = view.to_tell(self.listed[receiver].host)
+        self.in_flight.extend((receiver, news) for news in sent)
         self.in_flight.append((receiver, view.own.news))
 
-    @rule(place=st.integers(0, 99), doubled=st.booleans())
-    def deliver(self, place: int, *, doubled: bool) -> None:
+    @rule(position=st.integers(0, 99), duplicated=st.booleans())
+    def deliver(self, position: int, *, duplicated: bool) -> None:
         if not self.in_flight:
             return
-        index = place % len(self.in_flight)
+        index = position % len(self.in_flight)
         receiver, news = self.in_flight[index]
-        if not doubled:
+        if not duplicated:
             del self.in_flight[index]
         self.views[receiver].on_news(news)
 
     @invariant()
-    def own_beat_never_goes_back(self) -> None:
+    def own_beat_never_decreases(self) -> None:
         for host, view in enumerate(self.views):
-            assert view.own.beat >= self.beats[host]
-            self.beats[host] = view.own.beat
+            assert view.own.beat >= self.last_beats[host]
+            self.last_beats[host] = view.own.beat
 
     def teardown(self) -> None:
-        """Let everyone greet everyone some times; all then agree."""
+        """Exchange statuses between all hosts several times; all views agree."""
         for _ in range(4):
             for sender in range(HOSTS):
                 for receiver in range(HOSTS):
-                    self.greet(sender, receiver)
-        truth = {
+                    self.exchange(sender, receiver)
+        expected = {
             member.host: view.own.state
             for member, view in zip(self.listed, self.views, strict=True)
         }
         for view in self.views:
             assert not view.suspects()
             seen = {each.host: each.state for each in view.members()}
-            assert seen == truth
+            assert seen == expected
 
-    def greet(self, sender: int, receiver: int) -> None:
+    def exchange(self, sender: int, receiver: int) -> None:
         view, peer = self.views[sender], self.views[receiver]
         if view is peer:
             return
--- a/tests/membership/test_partners.py
+++ b/tests/membership/test_partners.py
@@ -13,7 +13,7 @@
 )
 from crowrudder_model.messages import MemberWord, Sighting, life_of
 
-BEAT_S = 0.4
+HEARTBEAT_S = 0.4
 REGIONS = ('a', 'b', 'c')
 
 
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """Rosters that beat in turn, as the task that owns one does."""
+    """Rosters that send heartbeats in turn, as the owning task does."""
 
     def __init__(self, size, seed):
         self.random = random.Random(seed)
@@ -45,7 +45,7 @@
             for each in words:
                 roster.on_word(each, 0, now=0)
 
-    def beat(self, now):
+    def send_heartbeats(self, now):
         for ip, roster in self.rosters.items():
             if ip in self.dead:
                 continue
@@ -56,35 +56,36 @@
                 [each.ip for each in others if each.region != own],
                 self.random,
             )
-            for targets, told in ((near, None), (far, own)):
-                seen = roster.sightings(self.random, now=now, region=told)
+            for targets, only_region in ((near, None), (far, own)):
+                last_seen = roster.sightings(
+                    self.random, now=now, region=only_region
+                )
                 for target in targets:
-                    self._deliver(roster.own, seen, target, now)
+                    self._deliver(roster.own, last_seen, target, now)
 
-    def _deliver(self, sender, seen, target, now):
+    def _deliver(self, sender, last_seen, target, now):
         self.datagrams += 1
         if target in self.dead:
             return
         receiver = self.rosters[target]
         receiver.on_word(sender, 0, now=now)
-        for sighting in seen:
+        for sighting in last_seen:
             receiver.on_sighting(sighting, now=now)
 
 
 class TestPartners:
-    def test_a_small_fleet_tells_everyone(self):
-        drawn = random.Random(1)
-        assert partners(['b'], ['c', 'd'], drawn) == (['b'], ['c', 'd'])
+    def test_small_fleet_sends_to_every_entry(self):
+        rng = random.Random(1)
+        assert partners(['b'], ['c', 'd'], rng) == (['b'], ['c', 'd'])
 
     @pytest.mark.parametrize('size', [20, 44, 340])
-    def test_messages_of_one_process_do_not_grow_with_the_fleet(self, size):
-        """The links between regions were full of heartbeats.
-
-        Symptom: half of the streams of a fleet of 44 entries pause for too
-        long while weights move. Sequence: every entry tells every other one
-        and every agent 2.5 times a second; all of it shares the regions'
-        links with answers and weights. Cause: messages that grow with the
-        square of the number of entries.
+    def test_messages_per_process_do_not_grow_with_the_fleet(self, size):
+        """Guards against heartbeats that fill the links between regions.
+
+        Every entry sent a heartbeat to every other entry and every agent 2.5
+        times a second, so that messages grew with the square of the number of
+        entries. They share the links with answers and weights: in a fleet of
+        44 entries, half of the streams paused for too long during transfers.
         """
         near = [str(each) for each in range(size // 3)]
         far = [f'far-{each}' for each in range(size - size // 3)]
@@ -92,39 +93,39 @@
         assert [len(each) for each in chosen] == [6, 1]
 
     @pytest.mark.parametrize('size', [9, 20, 44])
-    def test_nobody_alive_is_taken_for_dead(self, size):
+    def test_no_live_entry_is_considered_dead(self, size):
         fleet = Fleet(size, seed=3)
-        for beat in range(1, 100):
-            fleet.beat(beat * BEAT_S)
-        now = 100 * BEAT_S
+        for step in range(1, 100):
+            fleet.send_heartbeats(step * HEARTBEAT_S)
+        now = 100 * HEARTBEAT_S
         counts = {
             len(roster.entries(now=now)) for roster in fleet.rosters.values()
         }
         assert counts == {size}
         assert fleet.datagrams <= size * 7 * 99
 
-    def test_the_dead_are_missed_by_all(self):
+    def test_dead_entries_are_detected_by_all(self):
         fleet = Fleet(44, seed=4)
         fleet.dead = {'0', '1', '2', '3'}
-        for beat in range(1, 20):
-            fleet.beat(beat * BEAT_S)
-        now = 20 * BEAT_S
+        for step in range(1, 20):
+            fleet.send_heartbeats(step * HEARTBEAT_S)
+        now = 20 * HEARTBEAT_S
         for ip, roster in fleet.rosters.items():
             if ip not in fleet.dead:
                 live = {each.ip for each in roster.entries(now=now)}
                 assert not live & fleet.dead
 
-    def test_an_agent_keeps_its_contacts_while_they_live(self):
+    def test_agent_keeps_its_live_contacts(self):
         words = [word(str(each), region_of(each)) for each in range(30)]
         chosen = contacts('agent', words, 'a')
         fewer = [each for each in words if each.ip != chosen[0]]
         assert len(chosen) == 3
         assert contacts('agent', fewer, 'a')[:2] == chosen[1:]
 
-    def test_an_agent_without_an_entry_in_its_region_asks_others(self):
+    def test_agent_without_an_entry_in_its_region_uses_others(self):
         assert contacts('agent', [word('1', 'b')], 'a') == ['1']
 
-    def test_all_agree_on_the_relays(self):
+    def test_all_choose_the_same_relays(self):
         words = [word(str(each), region_of(each)) for each in range(30)]
         shuffled = random.Random(5).sample(words, len(words))
         assert relays(words, 'b') == relays(shuffled, 'b')
@@ -141,7 +142,7 @@
             leaving=leaving,
         )
 
-    def test_a_known_entry_is_as_young_as_its_youngest_sighting(self):
+    def test_newest_last_seen_time_of_an_entry_counts(self):
         roster = Roster(word('a'))
         roster.on_word(word('b'), 0, now=0)
         roster.on_sighting(self.sighting(word('b'), 200), now=2)
@@ -150,7 +151,7 @@
             roster.sightings(random.Random(1), now=3)[0].age_ms, 1200, abs_tol=1
         )
 
-    def test_an_older_sighting_changes_nothing(self):
+    def test_older_last_seen_entry_is_ignored(self):
         roster = Roster(word('a'))
         roster.on_word(word('b'), 0, now=2)
         roster.on_sighting(
@@ -158,23 +159,22 @@
         )
         assert roster.known(now=2.5)[0].ready
 
-    def test_an_entry_that_leaves_is_known_through_others(self):
+    def test_leaving_entry_is_known_through_others(self):
         roster = Roster(word('a'))
         roster.on_word(word('b'), 0, now=2)
         roster.on_sighting(self.sighting(word('b'), 10, leaving=True), now=2.5)
         assert roster.known(now=2.5)[0].leaving
 
-    def test_who_is_not_known_is_asked(self):
+    def test_status_of_unknown_entry_is_requested(self):
         roster = Roster(word('a'))
         assert roster.on_sighting(self.sighting(word('b'), 10), now=2)
         assert not roster.known(now=2)
 
-    def test_a_new_life_is_asked_and_an_old_one_is_not(self):
-        """A restarted entry was unknown for as long as its old life lasted.
+    def test_status_is_requested_for_a_new_incarnation_only(self):
+        """Guards against a restarted entry that gets no callers for seconds.
 
-        Symptom: an entry that has started anew gets no callers for seconds.
-        Sequence: others tell of it; here its old life is known, and the new
-        sightings refresh that. Cause: lives that weren't told apart.
+        If incarnations aren't distinguished, last-seen entries of the new
+        incarnation from others refresh the old one that is known here.
         """
         roster = Roster(word('a'))
         roster.on_word(word('b', incarnation='2', started_at=5.0), 0, now=2)
@@ -183,7 +183,7 @@
         assert roster.on_sighting(newer, now=2.5)
         assert not roster.on_sighting(older, now=2.5)
 
-    def test_a_sighting_of_the_own_process_is_left(self):
+    def test_last_seen_entry_of_the_own_process_is_ignored(self):
         roster = Roster(word('a'))
         own = self.sighting(word('a', incarnation='0'), 10)
         assert not roster.on_sighting(own, now=1)
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -21,55 +21,55 @@
 
 
 class TestRoster:
-    def test_an_entry_is_live_while_its_word_is_young(self):
+    def test_entry_is_live_while_its_status_is_recent(self):
         roster = Roster(word('a'))
         roster.on_word(word('b'), 0, now=10)
         assert ips(roster.entries(now=11)) == ['a', 'b']
         assert ips(roster.entries(now=12)) == ['a']
 
-    def test_a_dead_one_isnt_kept_alive_by_those_who_repeat_it(self):
-        """Callers were sent to a dead entry for ever.
+    def test_forwarded_statuses_do_not_keep_a_dead_entry_live(self):
+        """Guards against sending callers to a dead entry forever.
 
-        Symptom: a tenth of all connections fail. Sequence: an entry dies; two
-        others pass its last word on to each other again and again. Cause: a
-        word that was passed on counted as fresh.
+        After an entry died, two others forwarded its last status to each other
+        again and again. A forwarded status counted as fresh, and a tenth of
+        all connections failed.
         """
         first, second = Roster(word('a')), Roster(word('b'))
         first.on_word(word('dead'), 0, now=0)
-        drawn = random.Random(1)
+        rng = random.Random(1)
         for now in (0.5, 1.0, 1.5, 2.0, 2.5):
-            for heard in first.to_pass_on(drawn, now=now):
-                second.on_word(heard.word, heard.age_s, now=now)
-            for heard in second.to_pass_on(drawn, now=now):
-                first.on_word(heard.word, heard.age_s, now=now)
+            for forwarded in first.to_pass_on(rng, now=now):
+                second.on_word(forwarded.word, forwarded.age_s, now=now)
+            for forwarded in second.to_pass_on(rng, now=now):
+                first.on_word(forwarded.word, forwarded.age_s, now=now)
         assert 'dead' not in ips(first.entries(now=2.5))
         assert 'dead' not in ips(second.entries(now=2.5))
 
-    def test_a_later_life_replaces_an_earlier_one(self):
+    def test_later_incarnation_replaces_an_earlier_one(self):
         roster = Roster(word('a'))
         roster.on_word(word('b', '2', 20.0, ready=True), 1, now=10)
         roster.on_word(word('b', '1', 5.0), 0, now=10)
         assert [each.incarnation for each in roster.known(now=10)] == ['2']
 
-    def test_its_own_word_from_others_is_left(self):
+    def test_own_status_from_others_is_ignored(self):
         roster = Roster(word('a'))
         assert not roster.on_word(word('a', '0', 0.5), 0, now=1)
         assert ips(roster.entries(now=1)) == ['a']
 
-    def test_agents_know_entries_but_are_none(self):
+    def test_agents_are_not_listed_as_entries(self):
         roster = Roster(word('a', role='agent'))
         roster.on_word(word('b'), 0, now=1)
         roster.on_word(word('c', role='agent'), 0, now=1)
         assert ips(roster.entries(now=1)) == ['b']
 
-    def test_budget_counts_those_that_died_within_the_window(self):
+    def test_budget_share_counts_entries_that_died_within_the_window(self):
         roster = Roster(word('a'))
         roster.on_word(word('b'), 0, now=0)
         assert roster.budget_share(now=1) == 0.5
         assert roster.budget_share(now=9) == 0.5
         assert roster.budget_share(now=13) == 1
 
-    def test_a_change_of_the_own_word_is_told(self):
+    def test_change_of_the_own_status_is_reported(self):
         roster = Roster(word('a'))
         assert roster.set_own(ready=True, leaving=False)
         assert not roster.set_own(ready=True, leaving=False)
--- a/tests/membership/test_word.py
+++ b/tests/membership/test_word.py
@@ -1,4 +1,4 @@
-"""A process's own word against what is said of it."""
+"""A process's own status against reports of others."""
 
 from __future__ import annotations
 
@@ -10,150 +10,154 @@
 HERE = '127.0.0.1:1'
 
 
-def own(*, life: str, beat: int, address: str = HERE) -> OwnWord:
-    return OwnWord(host=HOST, incarnation=life, address=address, beat=beat)
+def own_status(
+    *, incarnation_id: str, beat: int, address: str = HERE
+) -> OwnWord:
+    return OwnWord(
+        host=HOST, incarnation=incarnation_id, address=address, beat=beat
+    )
 
 
-def view(word: OwnWord) -> MembershipView:
-    found = MembershipView(word)
-    found.published.on_platform(fleet(3), 1, 0)
-    found.on_list()
-    return found
+def view_of(status: OwnWord) -> MembershipView:
+    view = MembershipView(status)
+    view.published.on_platform(fleet(3), 1, 0)
+    view.on_list()
+    return view
 
 
-def state_of(seen: MembershipView, host: str) -> str:
-    (found,) = (each for each in seen.members() if each.host == host)
-    return found.state
+def state_of(view: MembershipView, host: str) -> str:
+    (member,) = (each for each in view.members() if each.host == host)
+    return member.state
 
 
 class TestRejoining:
-    """A host that left comes back as a new incarnation.
+    """A host that left rejoins as a new incarnation.
 
-    Symptom: a replaced host gets no work for ever. Sequence: it leaves and
-    says so; the next life says `live`; a peer passes on the old `leaving`.
-    Cause: any other incarnation's word was taken for newer, so that old and
-    new word replaced each other in the order of arrival.
+    Guards against a replaced host that never gets work. It leaves and reports
+    `leaving`; the next incarnation reports `live`; a peer forwards the old
+    `leaving`. The status of any other incarnation was considered newer, so
+    that old and new status replaced each other in the order of arrival.
     """
 
-    def test_leaving_of_an_earlier_life_does_not_stick(self) -> None:
-        first = own(life='a', beat=100)
+    def test_leaving_of_an_earlier_incarnation_does_not_persist(self) -> None:
+        first = own_status(incarnation_id='a', beat=100)
         first.leave()
-        peer = view(OwnWord('host-0001', 'p', HERE, 1))
+        peer = view_of(OwnWord('host-0001', 'p', HERE, 1))
         peer.on_news(first.news)
         assert state_of(peer, HOST) == 'leaving'
-        second = own(life='b', beat=200)
+        second = own_status(incarnation_id='b', beat=200)
         peer.on_news(second.news)
         peer.on_news(first.news)
         assert state_of(peer, HOST) == 'live'
 
-    def test_clock_behind_the_earlier_life(self) -> None:
-        """The new host's clock is behind: it hears of itself and outbids."""
-        first = own(life='a', beat=100)
+    def test_clock_behind_the_earlier_incarnation(self) -> None:
+        """The new host's clock is behind: it exceeds the received number."""
+        first = own_status(incarnation_id='a', beat=100)
         first.leave()
-        peer = view(OwnWord('host-0001', 'p', HERE, 1))
+        peer = view_of(OwnWord('host-0001', 'p', HERE, 1))
         peer.on_news(first.news)
-        second = view(own(life='b', beat=50))
+        second = view_of(own_status(incarnation_id='b', beat=50))
         peer.on_news(second.own.news)
         assert state_of(peer, HOST) == 'leaving'
-        (told,) = peer.to_tell(HOST)
-        second.on_news(told)
+        (sent,) = peer.to_tell(HOST)
+        second.on_news(sent)
         peer.on_news(second.own.news)
         assert state_of(peer, HOST) == 'live'
 
 
 class TestFrozen:
-    """A process is frozen, its host is given to a successor elsewhere.
+    """A process is paused, and its host is assigned to a successor elsewhere.
 
-    Symptom: after it woke up, peers sent work to either in turn. Cause: both
-    said `live`, and the word of the old one was as good as the new one's.
+    Guards against peers that send work to both in turn after it resumes: both
+    reported `live`, and the old status was as valid as the new one.
     """
 
-    def test_woken_process_gives_way_once_it_sees_the_new_list(self) -> None:
-        old = view(own(life='a', beat=100))
-        new = own(life='b', beat=200, address='127.0.0.9:1')
-        # It believes the past: outbids, as its own list still names it.
+    def test_resumed_process_yields_once_it_has_the_new_list(self) -> None:
+        old = view_of(own_status(incarnation_id='a', beat=100))
+        new = own_status(incarnation_id='b', beat=200, address='127.0.0.9:1')
+        # Its own list still names it, so it exceeds the sequence number.
         old.on_news(new.news)
         assert old.own.news.state == 'live'
         assert old.own.beat > new.beat
         new.on_listed(new.address)
         new.on_heard(old.own.news)
         assert new.state == 'live'
-        # The next greeting brings the list, and the outbid word.
+        # The next hello message carries the list and the higher number.
         old.own.on_listed(new.address)
         old.on_news(new.news)
-        assert old.own.gives_way
+        assert old.own.has_yielded
         assert old.own.state == 'leaving'
         assert old.own.beat < new.beat
 
-    def test_list_that_lags_puts_off_but_does_not_unseat(self) -> None:
-        new = own(life='b', beat=200, address='127.0.0.9:1')
+    def test_outdated_list_delays_the_new_incarnation_only(self) -> None:
+        new = own_status(incarnation_id='b', beat=200, address='127.0.0.9:1')
         new.on_listed(HERE)
         rival = ProcessNews(host=HOST, incarnation='a', beat=300)
         new.on_heard(rival)
-        assert new.gives_way
+        assert new.has_yielded
         new.on_listed(new.address)
         assert new.state == 'live'
         assert new.beat > rival.beat
 
 
 class TestSuspicion:
-    def test_failed_calls_in_a_row_are_one(self) -> None:
-        seen = view(OwnWord('host-0001', 'p', HERE, 1))
-        seen.on_call_failed(HOST)
-        seen.on_call_answered(HOST)
-        seen.on_call_failed(HOST)
-        assert not seen.suspects()
-        seen.on_call_failed(HOST)
-        assert seen.suspects() == {HOST}
-        assert state_of(seen, HOST) == 'live'
-
-    def test_host_that_lives_refutes_it(self) -> None:
-        """The peer hears what is said of it, and its next word ends it."""
-        word = own(life='a', beat=100)
-        seen = view(OwnWord('host-0001', 'p', HERE, 1))
-        seen.on_news(word.news)
+    def test_consecutive_failed_calls_raise_a_suspicion(self) -> None:
+        view = view_of(OwnWord('host-0001', 'p', HERE, 1))
+        view.on_call_failed(HOST)
+        view.on_call_answered(HOST)
+        view.on_call_failed(HOST)
+        assert not view.suspects()
+        view.on_call_failed(HOST)
+        assert view.suspects() == {HOST}
+        assert state_of(view, HOST) == 'live'
+
+    def test_live_host_refutes_a_suspicion(self) -> None:
+        """The peer receives the suspicion, and its next status ends it."""
+        status = own_status(incarnation_id='a', beat=100)
+        view = view_of(OwnWord('host-0001', 'p', HERE, 1))
+        view.on_news(status.news)
         for _ in range(2):
-            seen.on_call_failed(HOST)
-        # Its word as it was changes nothing: it hasn't heard yet.
-        seen.on_news(word.news)
-        assert seen.suspects() == {HOST}
-        (told,) = seen.to_tell(HOST)
-        word.on_heard(told)
-        seen.on_news(word.news)
-        assert not seen.suspects()
-
-    def test_leaving_goes_before_a_suspicion(self) -> None:
-        word = own(life='a', beat=100)
-        seen = view(OwnWord('host-0001', 'p', HERE, 1))
-        seen.on_news(word.news)
-        word.leave()
+            view.on_call_failed(HOST)
+        # Its previous status changes nothing: it hasn't got the suspicion yet.
+        view.on_news(status.news)
+        assert view.suspects() == {HOST}
+        (sent,) = view.to_tell(HOST)
+        status.on_heard(sent)
+        view.on_news(status.news)
+        assert not view.suspects()
+
+    def test_leaving_overrides_a_suspicion(self) -> None:
+        status = own_status(incarnation_id='a', beat=100)
+        view = view_of(OwnWord('host-0001', 'p', HERE, 1))
+        view.on_news(status.news)
+        status.leave()
         for _ in range(2):
-            seen.on_call_failed(HOST)
-        seen.on_news(word.news)
-        assert state_of(seen, HOST) == 'leaving'
-        assert not seen.suspects()
+            view.on_call_failed(HOST)
+        view.on_news(status.news)
+        assert state_of(view, HOST) == 'leaving'
+        assert not view.suspects()
 
 
 class TestList:
-    def test_list_and_word_lag_and_either_can_say_leaving(self) -> None:
-        seen = view(OwnWord('host-0001', 'p', HERE, 1))
-        word = own(life='a', beat=100)
-        word.leave()
-        seen.on_news(word.news)
-        assert state_of(seen, HOST) == 'leaving'
+    def test_leaving_status_applies_before_the_list_changes(self) -> None:
+        view = view_of(OwnWord('host-0001', 'p', HERE, 1))
+        status = own_status(incarnation_id='a', beat=100)
+        status.leave()
+        view.on_news(status.news)
+        assert state_of(view, HOST) == 'leaving'
 
-    def test_host_that_is_not_listed_is_no_member(self) -> None:
-        seen = view(OwnWord('host-0001', 'p', HERE, 1))
-        seen.on_news(ProcessNews(host='stranger', incarnation='s', beat=9))
-        assert len(seen.members()) == 3
+    def test_unlisted_host_is_not_a_member(self) -> None:
+        view = view_of(OwnWord('host-0001', 'p', HERE, 1))
+        view.on_news(ProcessNews(host='stranger', incarnation='s', beat=9))
+        assert len(view.members()) == 3
 
 
 class TestTelling:
-    def test_bounded_whatever_happens(self) -> None:
-        """A domain that leaves brings hundreds of words at once."""
-        seen = view(OwnWord('host-0001', 'p', HERE, 1))
+    def test_sent_statuses_are_bounded(self) -> None:
+        """A leaving domain causes hundreds of statuses at once."""
+        view = view_of(OwnWord('host-0001', 'p', HERE, 1))
         for number in range(400):
-            seen.on_news(
+            view.on_news(
                 ProcessNews(
                     host=f'other-{number}',
                     incarnation='x',
@@ -161,8 +165,8 @@
                     state='leaving',
                 )
             )
-        told = 0
-        while news := seen.to_tell('host-0002'):
+        sent = 0
+        while news := view.to_tell('host-0002'):
             assert len(news) <= 8
-            told += len(news)
-        assert told == 400 * 30
+            sent += len(news)
+        assert sent == 400 * 30
--- a/tests/requests/test_at_most_once.py
+++ b/tests/requests/test_at_most_once.py
@@ -102,13 +102,13 @@
         ]
         for number in range(200):
             request_id = f'r{number}'
-            voters = set(homes_of(request_id, candidates))
-            for removed_host in voters:
+            chosen = set(homes_of(request_id, candidates))
+            for removed_host in chosen:
                 remaining = [
                     place for place in candidates if place.host != removed_host
                 ]
                 other = set(homes_of(request_id, remaining))
-                assert len(voters & other) == len(voters) - 1
+                assert len(chosen & other) == len(chosen) - 1
 
     def test_voters_are_in_different_failure_domains(self):
         candidates = [
