--- a/packages/core/src/crowrudder_core/requests/_claims.py
+++ b/packages/core/src/crowrudder_core/requests/_claims.py
@@ -40,10 +40,10 @@
     Example
     -------
     >>> book = ClaimBook()
-    >>> ask = ClaimAsk(request_id='r', owner='e1', serial=1, keep_s=9.0)
-    >>> book.claim(ask, now=0.0)
+    >>> request = ClaimAsk(request_id='r', owner='e1', serial=1, keep_s=9.0)
+    >>> book.claim(request, now=0.0)
     <ClaimState.GRANTED: 'granted'>
-    >>> book.claim(evolve(ask, owner='e2'), now=1.0)
+    >>> book.claim(evolve(request, owner='e2'), now=1.0)
     <ClaimState.TAKEN: 'taken'>
     """
 
