--- a/packages/core/src/crowrudder_core/transfer/__init__.py
+++ b/packages/core/src/crowrudder_core/transfer/__init__.py
@@ -1,8 +1,14 @@
 """Transfer of weights: which chunk is read from whom, and what is whole."""
 
-from crowrudder_core.transfer._begin import transfer_of
-from crowrudder_core.transfer._bits import full, indices, pack, unpack
+from crowrudder_core.transfer._chunk_sets import full, indices, pack, unpack
 from crowrudder_core.transfer._hosts import ServiceHosts
+from crowrudder_core.transfer._layer_ranges import (
+    chunks_of,
+    layers_at_hand,
+    layers_of,
+    part_count,
+    parts_of,
+)
 from crowrudder_core.transfer._link_share import LinkShare
 from crowrudder_core.transfer._manifest import (
     Manifest,
@@ -14,15 +20,7 @@
     OriginDuty,
     choose_seeds,
 )
-from crowrudder_core.transfer._out_of_turn import Holdings, OutOfTurn
-from crowrudder_core.transfer._pace import Pace, pace_for
-from crowrudder_core.transfer._parts import (
-    chunks_of,
-    layers_at_hand,
-    layers_of,
-    part_count,
-    parts_of,
-)
+from crowrudder_core.transfer._pacing import Pace, pace_for
 from crowrudder_core.transfer._peers import PeerBook, Place, Stock
 from crowrudder_core.transfer._planner import (
     ChunkOrder,
@@ -36,8 +34,10 @@
 )
 from crowrudder_core.transfer._progress import Progress
 from crowrudder_core.transfer._rolling import may_change, predecessors
+from crowrudder_core.transfer._start import transfer_of
 from crowrudder_core.transfer._store import ChunkStore, NoRoomError
 from crowrudder_core.transfer._transfer import Transfer
+from crowrudder_core.transfer._unassigned_reads import Holdings, OutOfTurn
 
 __all__ = (
     'ChunkOrder',
--- a/packages/core/src/crowrudder_core/transfer/_hosts.py
+++ b/packages/core/src/crowrudder_core/transfer/_hosts.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field
 
-from crowrudder_core.transfer._parts import part_count, parts_of
+from crowrudder_core.transfer._layer_ranges import part_count, parts_of
 from crowrudder_model import ranked
 
 if TYPE_CHECKING:
--- a/packages/core/src/crowrudder_core/transfer/_origin.py
+++ b/packages/core/src/crowrudder_core/transfer/_origin.py
@@ -20,16 +20,16 @@
 
 from attrs import define, field, frozen
 
-from crowrudder_core.transfer._bits import full
-from crowrudder_core.transfer._pace import ORIGIN_LINKS
-from crowrudder_core.transfer._parts import part_count, parts_of
+from crowrudder_core.transfer._chunk_sets import full
+from crowrudder_core.transfer._layer_ranges import part_count, parts_of
+from crowrudder_core.transfer._pacing import ORIGIN_LINKS
 from crowrudder_core.transfer._planner import OriginReason
 from crowrudder_model import InvariantError, ranked
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
 
-    from crowrudder_core.transfer._pace import Pace
+    from crowrudder_core.transfer._pacing import Pace
     from crowrudder_core.transfer._peers import Place
 
 MOST_COPIES = 4
--- a/packages/core/src/crowrudder_core/transfer/_peers.py
+++ b/packages/core/src/crowrudder_core/transfer/_peers.py
@@ -7,7 +7,7 @@
 
 from attrs import define, field, frozen
 
-from crowrudder_core.transfer._bits import full
+from crowrudder_core.transfer._chunk_sets import full
 from crowrudder_core.transfer._planner import (
     OTHER_REGION,
     SAME_DOMAIN,
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from crowrudder_core.transfer._pace import Pace
+    from crowrudder_core.transfer._pacing import Pace
 
 SUSPECT_AFTER = 2
 """Calls in a row without an answer, after which a peer counts as failed."""
--- a/packages/core/src/crowrudder_core/transfer/_planner.py
+++ b/packages/core/src/crowrudder_core/transfer/_planner.py
@@ -15,7 +15,7 @@
 
 from attrs import define, field, frozen
 
-from crowrudder_core.transfer._bits import indices, pick, rarest
+from crowrudder_core.transfer._chunk_sets import indices, pick, rarest
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/packages/core/src/crowrudder_core/transfer/_begin.py
+++ b/packages/core/src/crowrudder_core/transfer/_start.py
@@ -6,7 +6,7 @@
 
 from attrs import evolve
 
-from crowrudder_core.transfer._pace import pace_for
+from crowrudder_core.transfer._pacing import pace_for
 from crowrudder_core.transfer._transfer import Transfer
 
 if TYPE_CHECKING:
--- a/packages/core/src/crowrudder_core/transfer/_transfer.py
+++ b/packages/core/src/crowrudder_core/transfer/_transfer.py
@@ -9,10 +9,9 @@
 
 from attrs import define, field
 
-from crowrudder_core.transfer._bits import full, indices
-from crowrudder_core.transfer._inflow import Inflow
+from crowrudder_core.transfer._chunk_sets import full, indices
+from crowrudder_core.transfer._inbound_link import Inflow
 from crowrudder_core.transfer._origin import OriginDuty
-from crowrudder_core.transfer._out_of_turn import Holdings, OutOfTurn
 from crowrudder_core.transfer._peers import PeerBook, Place, Stock
 from crowrudder_core.transfer._planner import (
     FromOrigin,
@@ -23,6 +22,7 @@
     plan_reads,
 )
 from crowrudder_core.transfer._progress import Progress
+from crowrudder_core.transfer._unassigned_reads import Holdings, OutOfTurn
 from crowrudder_model import InvariantError
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     from random import Random
 
     from crowrudder_core.transfer._manifest import Manifest
-    from crowrudder_core.transfer._pace import Pace
+    from crowrudder_core.transfer._pacing import Pace
     from crowrudder_core.transfer._store import ChunkStore
 
 MOST_WAITS = 3
--- a/packages/core/src/crowrudder_core/transfer/_out_of_turn.py
+++ b/packages/core/src/crowrudder_core/transfer/_unassigned_reads.py
@@ -16,14 +16,14 @@
 
 from attrs import define, frozen
 
-from crowrudder_core.transfer._bits import full, pick, rarest
+from crowrudder_core.transfer._chunk_sets import full, pick, rarest
 from crowrudder_core.transfer._planner import FromOrigin, OriginReason
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from random import Random
 
-    from crowrudder_core.transfer._pace import Pace
+    from crowrudder_core.transfer._pacing import Pace
     from crowrudder_core.transfer._planner import Source
 
 
--- a/tests/weights/test_inflow.py
+++ b/tests/weights/test_inflow.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crowrudder_core.transfer import FromPeer, Stock, full
-from crowrudder_core.transfer._inflow import HOLD_S, SPAN_S, Inflow
+from crowrudder_core.transfer._inbound_link import HOLD_S, SPAN_S, Inflow
 from crowrudder_daemon.fleet_agent._library import PACE
 from support.weights_versions import begin, version
 
--- a/tests/weights/test_rules.py
+++ b/tests/weights/test_rules.py
@@ -31,7 +31,7 @@
     transfer_of,
     unpack,
 )
-from crowrudder_core.transfer._bits import rarest
+from crowrudder_core.transfer._chunk_sets import rarest
 
 SETS = st.integers(0, 2**20 - 1)
 
