--- a/packages/core/src/crowrudder_core/transfer/_origin.py
+++ b/packages/core/src/crowrudder_core/transfer/_origin.py
@@ -108,7 +108,7 @@
 
     @property
     def is_seed(self) -> bool:
-        """Whether this host may read from the origin."""
+        """Return whether this host may read from the origin."""
         return self.host in self.seeds
 
     @property
@@ -228,7 +228,7 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last read from the origin failed."""
+        """Return whether the last read from the origin failed."""
         return self._retry_wait_s > 0
 
     def on_delivered(self) -> None:
@@ -270,7 +270,7 @@
 
     @property
     def is_at_odds(self) -> bool:
-        """Whether a chunk of the origin repeatedly mismatches the manifest.
+        """Return whether a chunk repeatedly mismatched the manifest.
 
         Either may be wrong: the manifest came from the same origin.
         """
--- a/packages/core/src/crowrudder_core/transfer/_peers.py
+++ b/packages/core/src/crowrudder_core/transfer/_peers.py
@@ -93,17 +93,17 @@
 
     @property
     def suspected(self) -> bool:
-        """Whether it counts as failed until it answers again."""
+        """Return whether it counts as failed until it answers again."""
         return self.failures >= SUSPECT_AFTER_FAILURES
 
     @property
     def banned(self) -> bool:
-        """Whether it sent too many corrupted chunks."""
+        """Return whether it sent too many corrupted chunks."""
         return self.corrupted_chunks >= MAX_CORRUPTED_CHUNKS
 
     @property
     def is_skipped(self) -> bool:
-        """Whether other hosts replace it as a reader of the origin."""
+        """Return whether other hosts replace it as a reader of the origin."""
         return (
             self.suspected
             or self.banned
--- a/packages/core/src/crowrudder_core/transfer/_transfer.py
+++ b/packages/core/src/crowrudder_core/transfer/_transfer.py
@@ -147,7 +147,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every chunk is held."""
+        """Return whether every chunk is held."""
         return self.held == full(self.count)
 
     @property
@@ -165,7 +165,7 @@
 
     @property
     def is_sound(self) -> bool:
-        """Whether it can continue: not dropped, and no held chunk was evicted."""
+        """Return whether it is not dropped and all held chunks are stored."""
         return not self.dropped and self.held == self.at_hand
 
     def chunk(self, index: int) -> bytes | None:
--- a/tests/weights/test_first_copy.py
+++ b/tests/weights/test_first_copy.py
@@ -42,7 +42,7 @@
     return reader
 
 
-def count_first_reads(hosts, *, even):
+def firsts(hosts, *, even):
     """Return the number of chunks for which each host is the first reader."""
     reader = origin_reader(hosts[0], hosts, even=even)
     return Counter(
@@ -62,20 +62,18 @@
         could start on the previous version any more.
         """
         hosts = [f'10.0.0.{number}' for number in range(9)]
-        assert max(count_first_reads(hosts, even=False).values()) > 9
-        assert max(count_first_reads(hosts, even=True).values()) == 8
+        assert max(firsts(hosts, even=False).values()) > 9
+        assert max(firsts(hosts, even=True).values()) == 8
 
     @given(count=st.integers(1, 32))
-    def test_hosts_of_one_layer_range_are_assigned_equally_many_chunks(
-        self, count
-    ):
+    def test_hosts_of_one_part_read_as_many_chunks_as_each_other(self, count):
         hosts = [f'h{number}' for number in range(count)]
-        assigned = count_first_reads(hosts, even=True)
+        turns = firsts(hosts, even=True)
         parts = parts_of('m@2', {name: Place('r', name) for name in hosts})
         for part in set(parts.values()):
-            own = [assigned[host] for host in hosts if parts[host] == part]
+            own = [turns[host] for host in hosts if parts[host] == part]
             assert max(own) - min(own) <= 1
-        assert assigned.total() == COUNT
+        assert turns.total() == COUNT
 
     def test_all_hosts_compute_the_same_assignment(self):
         hosts = [f'h{number}' for number in range(7)]
--- a/tests/weights/test_parts.py
+++ b/tests/weights/test_parts.py
@@ -30,23 +30,21 @@
 
 class TestParts:
     @given(regions)
-    def test_each_region_has_all_layer_ranges_that_its_hosts_allow(
-        self, region_numbers
-    ):
-        places = places_of(region_numbers)
+    def test_each_region_has_every_part_that_it_can(self, found):
+        places = places_of(found)
         parts = parts_of('m@2', places)
         count = part_count(len(places))
-        for region in set(region_numbers):
+        for region in set(found):
             own = {
                 parts[host]
                 for host in places
                 if places[host].region == f'r{region}'
             }
-            assert len(own) == min(region_numbers.count(region), count)
+            assert len(own) == min(found.count(region), count)
         assert len(set(parts.values())) == count
 
     @given(st.integers(1, 60))
-    def test_layer_ranges_are_spread_evenly_over_the_hosts(self, hosts):
+    def test_the_fleet_has_as_many_hosts_of_each_part(self, hosts):
         parts = Counter(parts_of('v', places_of([0] * hosts)).values())
         assert max(parts.values()) - min(parts.values()) <= 1
 
@@ -55,14 +53,12 @@
         chunks=st.integers(1, 200),
         count=st.integers(1, 3),
     )
-    def test_layer_ranges_cover_all_layers_and_chunks(
-        self, layers, chunks, count
-    ):
+    def test_parts_are_all_layers_and_all_chunks(self, layers, chunks, count):
         ranges = [layers_of(part, count, layers) for part in range(count)]
         assert ranges[0].first == 0
         assert ranges[-1].end == layers
-        for before, after in itertools.pairwise(ranges):
-            assert before.end == after.first
+        for near, far in itertools.pairwise(ranges):
+            assert near.end == far.first
         bits = 0
         for held in ranges:
             bits |= chunks_of(held, layers=layers, chunks=chunks)
@@ -72,9 +68,9 @@
         layer=st.integers(0, 15),
         chunks=st.integers(1, 100),
     )
-    def test_layer_contains_each_chunk_that_overlaps_it(self, layer, chunks):
+    def test_a_layer_has_each_chunk_that_touches_it(self, layer, chunks):
         bits = chunks_of(LayerRange(layer, layer + 1), layers=16, chunks=chunks)
         for index in range(chunks):
             begins, ends = index / chunks, (index + 1) / chunks
-            overlaps = ends > layer / 16 and begins < (layer + 1) / 16
-            assert bool(bits >> index & 1) == overlaps
+            touches = ends > layer / 16 and begins < (layer + 1) / 16
+            assert bool(bits >> index & 1) == touches
--- a/tests/weights/test_rules.py
+++ b/tests/weights/test_rules.py
@@ -65,7 +65,7 @@
         assert unpack(pack(bits, 20), 20) == bits
 
     @given(SETS, st.lists(SETS, max_size=9))
-    def test_rarest_matches_a_direct_count(self, candidates, holdings):
+    def test_rarest_counts_like_a_plain_count(self, candidates, holdings):
         counts = {
             index: sum(held >> index & 1 for held in holdings)
             for index in indices(candidates)
--- a/tests/weights/test_transfer.py
+++ b/tests/weights/test_transfer.py
@@ -234,7 +234,7 @@
     return reader
 
 
-def nobody(_host, _index):
+def none_skipped(_host, _index):
     return False
 
 
@@ -243,7 +243,7 @@
 
     def test_each_chunk_has_one_assigned_reader(self):
         assignments = [
-            origin_reader(host, self.hosts).assignments(nobody, 1)
+            origin_reader(host, self.hosts).assignments(none_skipped, 1)
             for host in self.hosts
         ]
         for index in range(256):
@@ -259,7 +259,9 @@
 
     def test_second_copy_is_read_in_the_other_region(self):
         assignments = [
-            origin_reader(host, self.hosts, copies=2).assignments(nobody, 1)
+            origin_reader(host, self.hosts, copies=2).assignments(
+                none_skipped, 1
+            )
             for host in self.hosts
         ]
         for index in range(256):
@@ -271,13 +273,13 @@
             assert readers == {0, 1}
 
     def test_next_reader_only_when_the_one_before_is_skipped(self):
-        first = origin_reader('h0', self.hosts).assigned_reader(0, nobody)
+        first = origin_reader('h0', self.hosts).assigned_reader(0, none_skipped)
         second = origin_reader('h0', self.hosts).assigned_reader(
             0, lambda h, _: h == first
         )
         assert first != second
         other = origin_reader(second, self.hosts)
-        assert not other.assignments(nobody, 1).from_origin & 1
+        assert not other.assignments(none_skipped, 1).from_origin & 1
         out = other.assignments(lambda host, _: host == first, 2)
         assert out.from_origin & 1
 
@@ -378,8 +380,8 @@
         self.dropped.append(self.transfer)
         self.payloads = OLD if back else NEW
         name = 'old' if back else 'new'
-        manifest = version(name, self.payloads)
-        self.transfer = begin(manifest, self.store, hosts=self.hosts)
+        made = version(name, self.payloads)
+        self.transfer = begin(made, self.store, hosts=self.hosts)
         self.started = []
 
     @invariant()
@@ -397,12 +399,12 @@
             assert not transfer.next_reads(now=self.now)
 
     @invariant()
-    def no_chunk_has_two_reads_in_flight(self):
+    def no_chunk_is_asked_for_twice_at_a_time(self):
         asked = [read.index for read in self.transfer.flights]
         assert len(set(asked)) == len(asked)
 
     @invariant()
-    def complete_version_passes_verification(self):
+    def whole_only_when_all_is_held(self):
         if self.transfer.complete:
             self.transfer.assert_whole()
 
