--- a/packages/core/src/crowrudder_core/transfer/_manifest.py
+++ b/packages/core/src/crowrudder_core/transfer/_manifest.py
@@ -73,7 +73,7 @@
     """
     if hashlib.sha256(payload).hexdigest() != declared:
         raise ManifestError(
-            'the manifest digest differs from the declared digest',
+            'the manifest has another digest than the files declare',
             step='manifest',
             peer=peer,
         )
@@ -88,8 +88,7 @@
     if not _fits(manifest):
         raise ManifestError(
             f'{len(manifest.chunks)} chunks of {manifest.chunk_bytes} bytes '
-            f'do not add up to {manifest.size} bytes; publish the version '
-            'again',
+            f'are not {manifest.size} bytes; publish the version again',
             step='manifest',
             peer=peer,
         )
--- a/packages/core/src/crowrudder_core/transfer/_origin.py
+++ b/packages/core/src/crowrudder_core/transfer/_origin.py
@@ -210,9 +210,7 @@
             If the share is spent: the origin would send too many copies.
         """
         if self.spent >= self.share and reason in _ASSIGNED_REASONS:
-            raise InvariantError(
-                'the read exceeds the origin share of this host', step='origin'
-            )
+            raise InvariantError('a read over the cap', step='origin')
         self.spent += 1
         self.reasons[reason.value] += 1
         self.reading |= 1 << index
--- a/packages/core/src/crowrudder_core/transfer/_store.py
+++ b/packages/core/src/crowrudder_core/transfer/_store.py
@@ -78,9 +78,7 @@
         if digest in self._payloads:
             return True
         if digest not in self._wanted:
-            raise InvariantError(
-                'the chunk belongs to no wanted version', step='store'
-            )
+            raise InvariantError('a chunk that nobody wants', step='store')
         self._free_space(len(payload))
         self._payloads[digest] = payload
         self.held_bytes += len(payload)
@@ -94,6 +92,4 @@
                 return
             self.held_bytes -= len(self._payloads.pop(digest))
         if self.held_bytes + size > self.limit:
-            raise InvariantError(
-                'held chunks would exceed memory_bytes', step='store'
-            )
+            raise InvariantError('more bytes than memory_bytes', step='store')
--- a/packages/core/src/crowrudder_core/transfer/_transfer.py
+++ b/packages/core/src/crowrudder_core/transfer/_transfer.py
@@ -363,7 +363,7 @@
             self._verified = self.manifest.is_verified(self.chunk)
         if not (self._verified and self.complete and self.is_sound):
             raise InvariantError(
-                f'{self.manifest.version} is not complete; it is not loaded',
+                f'{self.manifest.version} is not whole; it is not loaded',
                 step='verify',
             )
 
--- a/tests/weights/test_transfer.py
+++ b/tests/weights/test_transfer.py
@@ -46,7 +46,7 @@
     def test_partial_weights_are_not_loaded(self):
         transfer = begin(version('old', OLD))
         fill(transfer, OLD[:-1])
-        with pytest.raises(InvariantError, match='not complete'):
+        with pytest.raises(InvariantError, match='not whole'):
             transfer.assert_whole()
 
     def test_valid_chunks_with_a_wrong_total_digest_are_not_loaded(self):
