--- a/packages/core/src/crowrudder_core/transfer/__init__.py
+++ b/packages/core/src/crowrudder_core/transfer/__init__.py
@@ -1,8 +1,14 @@
-"""Transfer of weights: which chunk is read from whom, and what is whole."""
+"""Transfer of weights: chunk sources, read planning and verification."""
 
-from crowrudder_core.transfer._begin import transfer_of
-from crowrudder_core.transfer._bits import full, indices, pack, unpack
+from crowrudder_core.transfer._chunk_sets import full, indices, pack, unpack
 from crowrudder_core.transfer._hosts import ServiceHosts
+from crowrudder_core.transfer._layer_ranges import (
+    chunks_of,
+    layers_at_hand,
+    layers_of,
+    part_count,
+    parts_of,
+)
 from crowrudder_core.transfer._link_share import LinkShare
 from crowrudder_core.transfer._manifest import (
     Manifest,
@@ -11,33 +17,30 @@
 )
 from crowrudder_core.transfer._origin import (
     MOST_COPIES,
-    OriginDuty,
+    OriginReader,
     choose_seeds,
 )
-from crowrudder_core.transfer._out_of_turn import Holdings, OutOfTurn
-from crowrudder_core.transfer._pace import Pace, pace_for
-from crowrudder_core.transfer._parts import (
-    chunks_of,
-    layers_at_hand,
-    layers_of,
-    part_count,
-    parts_of,
-)
-from crowrudder_core.transfer._peers import PeerBook, Place, Stock
+from crowrudder_core.transfer._pacing import PacingConfig, derive_pacing
+from crowrudder_core.transfer._peers import PeerTable, Place, Stock
 from crowrudder_core.transfer._planner import (
     ChunkOrder,
     FromOrigin,
     FromPeer,
     OriginReason,
     Read,
+    ReadCandidates,
     Source,
-    Wants,
     plan_reads,
 )
 from crowrudder_core.transfer._progress import Progress
 from crowrudder_core.transfer._rolling import may_change, predecessors
+from crowrudder_core.transfer._start import transfer_of
 from crowrudder_core.transfer._store import ChunkStore, NoRoomError
 from crowrudder_core.transfer._transfer import Transfer
+from crowrudder_core.transfer._unassigned_reads import (
+    ChunkAvailability,
+    UnassignedReads,
+)
 
 __all__ = (
     'ChunkOrder',
@@ -49,12 +52,12 @@
     'Manifest',
     'ManifestError',
     'NoRoomError',
-    'OriginDuty',
+    'OriginReader',
     'OriginReason',
-    'OutOfTurn',
-    'Holdings',
-    'Pace',
-    'PeerBook',
+    'UnassignedReads',
+    'ChunkAvailability',
+    'PacingConfig',
+    'PeerTable',
     'Place',
     'Progress',
     'Read',
@@ -62,7 +65,7 @@
     'Source',
     'Stock',
     'Transfer',
-    'Wants',
+    'ReadCandidates',
     'choose_seeds',
     'chunks_of',
     'decode_manifest',
@@ -71,7 +74,7 @@
     'layers_at_hand',
     'layers_of',
     'may_change',
-    'pace_for',
+    'derive_pacing',
     'pack',
     'part_count',
     'parts_of',
--- a/tests/weights/test_parts.py
+++ b/tests/weights/test_parts.py
@@ -1,4 +1,4 @@
-"""The part of a version that each host collects first."""
+"""The layer range of a version that each host collects first."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 regions = st.lists(st.integers(0, 3), min_size=1, max_size=40)
 
 
-def places_of(found):
+def places_of(region_numbers):
     return {
         f'h{number}': Place(f'r{region}', f'r{region}')
-        for number, region in enumerate(found)
+        for number, region in enumerate(region_numbers)
     }
 
 
