--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry of a fleet: callers' requests go straight to the upstreams."""
+"""The fleet entry, which proxies callers' requests to the upstreams."""
 
 from crowrudder_daemon.fleet_entry._role import FleetEntry, build_fleet_entry
 
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one upstream."""
+"""A single attempt to run a request on one upstream."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from crowrudder_core.forecast import Work
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet.ports import SendTerms
-from crowrudder_daemon.fleet_entry._ends import ON_THE_WAY_S
+from crowrudder_daemon.fleet_entry._version_end import MIN_START_WINDOW_S
 from crowrudder_daemon.http import (
     BrokenAnswerError,
     NotConnectedError,
@@ -37,31 +37,32 @@
         CallersDialect,
     )
     from crowrudder_daemon.fleet_entry._caller_side import CallerSide
-    from crowrudder_daemon.fleet_entry._patience import Patience
+    from crowrudder_daemon.fleet_entry._timeouts import AttemptTimeouts
     from crowrudder_daemon.fleet_entry._upstreams import Upstreams
     from crowrudder_daemon.http import HttpConnection, WireHead
 
 CONNECT_S = 0.3
-"""Longest wait for a connection; a host without power never answers, and
-between regions the way takes some milliseconds."""
+"""Timeout for a connection to an upstream. A host without power never answers;
+the latency between regions is some milliseconds."""
 
-MOST_BODY_BYTES = 4 * 1024 * 1024
-"""Longest answer that is held whole before it is passed on."""
+MAX_BODY_BYTES = 4 * 1024 * 1024
+"""Size limit of an answer that is buffered before it is forwarded."""
 
-MOST_STRAYS = 4
-"""Answers to other requests that are read over before one's own."""
+MAX_STRAY_ANSWERS = 4
+"""Limit of answers to other requests that are discarded before the attempt
+fails."""
 
-FIRST_ERROR = 300
-PROMISES = frozenset((408, 421, 429, 503))
-"""Statuses that say to a caller that its request hasn't run."""
+FIRST_NON_SUCCESS_STATUS = 300
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
+"""Statuses that promise the caller that its request was not executed."""
 
 
 @frozen(kw_only=True)
-class TakenAway:
-    """How late an attempt was taken away, and what its connection still held.
+class Cancellation:
+    """Details of an attempt's cancellation before the end of its version.
 
-    ``late_s`` is counted from the moment by which it had to begin;
-    ``unsent_bytes`` is -1 where the connection was gone.
+    ``late_s`` is the delay after ``begin_by``; ``unsent_bytes`` is what the
+    connection had not sent yet, -1 if the connection was already closed.
     """
 
     late_s: float
@@ -70,13 +71,14 @@
 
 @define(kw_only=True, eq=False)
 class Attempt:
-    """One send, until the answer is whole or the attempt has failed.
+    """One send to an upstream, until the answer is complete or has failed.
 
-    Events of a stream go to the caller as they come; any other answer is held
-    until it is whole, so that a half one is never passed on.
+    Events of a stream are forwarded to the caller as they arrive. Any other
+    answer is buffered until it is complete, so that the caller never receives
+    a partial one.
 
-    ``begin_left_s`` is how long it had to begin in when it was sent, None if
-    nothing bounds that.
+    ``begin_left_s`` is the time from the send to ``begin_by``, None if there
+    is no such deadline.
     """
 
     call: Call
@@ -84,7 +86,7 @@
     choice: Choice
     customer: str
     urgency: int | None
-    patience: Patience
+    timeouts: AttemptTimeouts
     dispatch: Dispatch
     events: EventStream
     is_stream: bool
@@ -92,33 +94,33 @@
     _dialect: CallersDialect
     _upstreams: Upstreams
     answer: WireAnswer | None = field(default=None, init=False)
-    is_whole: bool = field(default=False, init=False)
-    first_took_s: float = field(default=-1, init=False)
+    is_complete: bool = field(default=False, init=False)
+    time_to_first_event_s: float = field(default=-1, init=False)
     sent_at: float = field(default=0, init=False)
-    word_age_s: float = field(default=-1, init=False)
+    load_report_age_s: float = field(default=-1, init=False)
     begin_left_s: float | None = field(default=None, init=False)
-    head_took_s: float = field(default=-1, init=False)
-    taken_away: TakenAway | None = field(default=None, init=False)
+    time_to_head_s: float = field(default=-1, init=False)
+    cancellation: Cancellation | None = field(default=None, init=False)
     is_cut_off: bool = field(default=False, init=False)
-    """Whether the upstream closed the connection before its answer's end."""
+    """Whether the upstream closed the connection before its answer ended."""
 
     is_refused: bool = field(default=False, init=False)
-    """Whether nobody listens at the upstream's address."""
+    """Whether the upstream's address refused the connection."""
 
     limit_per_s: float | None = field(default=None, init=False)
-    """The limit that the upstream named in its answer."""
+    """The rate limit that the upstream named in its answer."""
 
     begin_by: float = field(init=False)
     _ticket: int = field(default=0, init=False)
     _wait: asyncio.Timeout | None = field(default=None, init=False)
-    _event_at: float = field(default=math.inf, init=False)
+    _last_event_at: float = field(default=math.inf, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Begin with the end that is known at the send."""
-        self.begin_by = self.patience.begin_by
+        """Initialise the deadline to begin from the timeouts."""
+        self.begin_by = self.timeouts.begin_by
 
     async def run(self) -> Ending:
-        """Make the attempt."""
+        """Run the attempt and return how it ended."""
         upstream = self.choice.outlook.upstream
         if not self._upstreams.limits.take(upstream.id):
             return NotSent('its limit allows no more requests now')
@@ -133,7 +135,8 @@
         try:
             return await self._run_on(conn)
         except BaseException:
-            # The caller left or the time is over: the upstream has to notice.
+            # The caller left or the time is over: closing the connection
+            # tells the upstream to stop.
             conn.close()
             raise
 
@@ -143,11 +146,11 @@
         if not self.dispatch.may_send(now):
             conn.close()
             return NotSent('no time left')
-        # A newer version may have been named since the choice.
+        # A newer version may have been announced since the choice.
         begin_by = self._upstreams.begin_by(self.choice, self.call.model)
         self.begin_by = min(self.begin_by, begin_by)
-        if self.begin_by - now < ON_THE_WAY_S:
-            # The wait for the connection has taken what was left.
+        if self.begin_by - now < MIN_START_WINDOW_S:
+            # The wait for the connection used up the time to begin.
             conn.close()
             return NotSent('no time left to begin in')
         request = self._dialect.request_for(
@@ -162,9 +165,9 @@
         begin_left_s = self.begin_by - now
         if math.isfinite(begin_left_s):
             self.begin_left_s = begin_left_s
-        self._ticket = self._upstreams.begin_wait(self)
+        self._ticket = self._upstreams.add_pending(self)
         outlook = self.choice.outlook
-        self.word_age_s = outlook.word_age_s(now)
+        self.load_report_age_s = outlook.word_age_s(now)
         for each in self.choice.outlooks:
             each.on_sent(self._ticket, Work(self.call.prompt_tokens, now))
         try:
@@ -173,41 +176,41 @@
             unsent_bytes = conn.unsent_bytes
             self.is_cut_off = conn.was_ended_by_peer
             conn.close()
-            if self._is_overtaken:
-                self._note_taken_away(unsent_bytes)
+            if self._is_start_overdue:
+                self._record_cancellation(unsent_bytes)
                 return Broken('not begun as its version ends')
-            self._note_broken()
+            self._record_failure()
             return Broken(str(exc) or 'silent for too long')
         finally:
-            self._upstreams.end_wait(self._ticket)
+            self._upstreams.remove_pending(self._ticket)
             for each in self.choice.outlooks:
                 each.on_ended(self._ticket)
 
     @property
     def ran_s(self) -> float:
-        """How long ago its first event came, in seconds; 0 before it."""
+        """Seconds since the first event; 0 before it."""
         if not self._has_begun:
             return 0
-        return clock_s() - self.sent_at - self.first_took_s
+        return clock_s() - self.sent_at - self.time_to_first_event_s
 
     @property
-    def _is_overtaken(self) -> bool:
-        """Whether it had not begun when it had to."""
+    def _is_start_overdue(self) -> bool:
+        """Whether no event has arrived by ``begin_by``."""
         return not self._has_begun and clock_s() >= self.begin_by
 
     @property
     def _has_begun(self) -> bool:
-        """Whether an event has come."""
-        return self.first_took_s >= 0
+        """Whether an event has arrived."""
+        return self.time_to_first_event_s >= 0
 
-    def _note_taken_away(self, unsent_bytes: int) -> None:
-        self.taken_away = TakenAway(
+    def _record_cancellation(self, unsent_bytes: int) -> None:
+        self.cancellation = Cancellation(
             late_s=clock_s() - self.begin_by,
             unsent_bytes=unsent_bytes,
         )
 
-    def _note_broken(self) -> None:
-        """Count a failure, unless the engine cut it off for a load."""
+    def _record_failure(self) -> None:
+        """Record a failure, unless the engine ended it to load a version."""
         now = clock_s()
         outlook = self.choice.outlook
         if not outlook.is_changing(now):
@@ -226,33 +229,33 @@
         )
 
     async def _read(self, conn: HttpConnection) -> Ending:
-        head, mark = await self._own_head(conn)
-        self.head_took_s = clock_s() - self.sent_at
+        head, mark = await self._matching_head(conn)
+        self.time_to_head_s = clock_s() - self.sent_at
         self.limit_per_s = mark.limit_per_s
         self._upstreams.limits.on_answer(
             self.choice.outlook.upstream.id, mark.limit_per_s
         )
         if mark.not_run:
             return await self._not_run(conn, head, mark)
-        if self.is_stream and head.status < FIRST_ERROR:
+        if self.is_stream and head.status < FIRST_NON_SUCCESS_STATUS:
             if not mark.is_vouched:
                 raise BrokenAnswerError(
                     'nobody vouches for it', step='answer', peer=conn.peer
                 )
             return await self._stream(conn, head)
-        return await self._whole(conn, head, mark)
+        return await self._buffer_answer(conn, head, mark)
 
-    async def _own_head(
+    async def _matching_head(
         self, conn: HttpConnection
     ) -> tuple[WireHead, AnswerMark]:
-        """Wait for the answer to this request, past those to others.
+        """Return the head of this request's answer; discard other answers.
 
-        An upstream may answer an earlier request of the connection twice; its
-        caller would get what belongs to someone else.
+        An upstream may answer an earlier request of the connection twice.
+        Without this check the caller would get an answer to another request.
         """
-        left_s = min(self.patience.first_s, self.begin_by - clock_s())
+        left_s = min(self.timeouts.first_s, self.begin_by - clock_s())
         async with self._waiting(left_s):
-            for _ in range(MOST_STRAYS):
+            for _ in range(MAX_STRAY_ANSWERS):
                 head = await conn.head()
                 mark = self._dialect.mark_of(head)
                 own = self.call.request_id
@@ -270,29 +273,29 @@
         head: WireHead,
         mark: AnswerMark,
     ) -> NotRun:
-        async with asyncio.timeout(self.patience.pause_s):
+        async with asyncio.timeout(self.timeouts.pause_s):
             await conn.drain()
         self._upstreams.pool.keep(conn, head)
         self.choice.outlook.on_bad(now=clock_s(), avoid=False)
         return NotRun(f'answered {head.status}', mark.retry_after_s)
 
-    async def _whole(
+    async def _buffer_answer(
         self,
         conn: HttpConnection,
         head: WireHead,
         mark: AnswerMark,
     ) -> Ending:
-        """Hold an answer until it is whole."""
+        """Buffer an answer until it is complete."""
         parts: list[bytes] = []
         size = 0
-        while (part := await self._part(conn, has_begun=True)) is not None:
+        while (part := await self._read_part(conn, has_begun=True)) is not None:
             parts.append(part)
             size += len(part)
-            if size > MOST_BODY_BYTES:
+            if size > MAX_BODY_BYTES:
                 raise BrokenAnswerError(
                     'longer than allowed', step='answer', peer=conn.peer
                 )
-        if not mark.is_vouched or head.status in PROMISES:
+        if not mark.is_vouched or head.status in NOT_EXECUTED_STATUSES:
             raise BrokenAnswerError(
                 f'answered {head.status}, which is no answer to pass on',
                 step='answer',
@@ -300,54 +303,56 @@
             )
         self._upstreams.pool.keep(conn, head)
         self.answer = WireAnswer(head=head, body=b''.join(parts))
-        self._note_whole(is_good=head.status < FIRST_ERROR + 200)
+        self._record_completion(
+            is_good=head.status < FIRST_NON_SUCCESS_STATUS + 200
+        )
         return Answered(head.status)
 
     async def _stream(self, conn: HttpConnection, head: WireHead) -> Ending:
-        """Pass whole events on as they come."""
+        """Forward complete events as they arrive."""
         self.events.begin_attempt()
         while not self._has_begun:
-            part = await self._part(conn, has_begun=False)
+            part = await self._read_part(conn, has_begun=False)
             if part is None:
                 break
-            whole = self.events.take(part)
-            if whole:
-                self._note_first()
-                self._note_pause()
-                await self._pass_on(head, whole)
+            complete_events = self.events.take(part)
+            if complete_events:
+                self._record_first_event()
+                self._record_pause()
+                await self._forward(head, complete_events)
         else:
-            await conn.relay(self._push, pause_s=self.patience.pause_s)
-        await self._pass_on(head, self.events.rest())
+            await conn.relay(self._push, pause_s=self.timeouts.pause_s)
+        await self._forward(head, self.events.rest())
         self._upstreams.pool.keep(conn, head)
-        self.is_whole = True
-        self._note_whole(is_good=True)
+        self.is_complete = True
+        self._record_completion(is_good=True)
         return Answered(head.status)
 
     def _push(self, part: bytes) -> asyncio.Future[None] | None:
-        """Pass the whole events on that a part completes."""
-        whole = self.events.take(part)
-        if not whole:
+        """Forward the events that a part of the body completes."""
+        complete_events = self.events.take(part)
+        if not complete_events:
             return None
-        self._note_pause()
-        return self._side.push(whole)
+        self._record_pause()
+        return self._side.push(complete_events)
 
-    async def _part(
+    async def _read_part(
         self, conn: HttpConnection, *, has_begun: bool
     ) -> bytes | None:
         if has_begun:
-            async with asyncio.timeout(self.patience.pause_s):
+            async with asyncio.timeout(self.timeouts.pause_s):
                 return await conn.part()
-        # What goes wrong where only the head of an answer has to come in time:
-        # an upstream sends it before it begins, and what has not begun is taken
-        # away as late as a pause of a stream may last, seen as `late_s` beside
-        # a `head_s` in the line of the request.
-        left_s = min(self.patience.pause_s, self.begin_by - clock_s())
+        # An upstream may send the head of its answer before it begins. If only
+        # the head had to arrive by `begin_by`, a request that has not begun
+        # would be cancelled up to `pause_s` too late; the log shows this as
+        # `late_s` together with a `head_s`.
+        left_s = min(self.timeouts.pause_s, self.begin_by - clock_s())
         async with self._waiting(left_s):
             return await conn.part()
 
     @contextlib.asynccontextmanager
     async def _waiting(self, left_s: float) -> AsyncIterator[None]:
-        """Bound a wait, by less if a version's end is seen to come sooner."""
+        """Apply a timeout that ``update_begin_by`` may shorten."""
         try:
             async with asyncio.timeout(left_s) as wait:
                 self._wait = wait
@@ -355,13 +360,13 @@
         finally:
             self._wait = None
 
-    def on_versions(self) -> None:
-        """Take note that other versions may be in force than at the send.
+    def update_begin_by(self) -> None:
+        """Update the deadline to begin after a change of versions.
 
-        What goes wrong where the end is looked up at the send alone: an age
-        is corrected while a request waits, or it waits at the first engine of
-        a path whose others give their parts up for a version that was named
-        meanwhile. It is seen as a token made by two versions.
+        The deadline can move up while a request waits: the age of a version
+        is corrected, or engines of a pipeline drop their layers for a newly
+        announced version. If it were computed at the send alone, one token
+        could be made by two versions.
         """
         begin_by = self._upstreams.begin_by(self.choice, self.call.model)
         self.begin_by = min(self.begin_by, begin_by)
@@ -372,36 +377,36 @@
         due_at = asyncio.get_running_loop().time() + left_s
         wait.reschedule(min(due_at, wait.when() or due_at))
 
-    async def _pass_on(self, head: WireHead, whole: bytes) -> None:
+    async def _forward(self, head: WireHead, complete_events: bytes) -> None:
         if self._side.has_begun:
-            await self._side.write(whole)
+            await self._side.write(complete_events)
             return
         headers = self._dialect.passed_back(head)
-        await self._side.begin(head.status, headers, whole)
+        await self._side.begin(head.status, headers, complete_events)
 
-    def _note_first(self) -> None:
+    def _record_first_event(self) -> None:
         if self._has_begun:
             return
         now = clock_s()
-        self.first_took_s = now - self.sent_at
+        self.time_to_first_event_s = now - self.sent_at
         self.choice.outlook.on_begun(
             self._ticket, forecast_s=self.choice.first_s, now=now
         )
 
-    def _note_pause(self) -> None:
-        """Count a pause that the caller notices against the upstream.
+    def _record_pause(self) -> None:
+        """Record a pause in the stream that the caller notices.
 
-        Its link may be squeezed: it begins streams in time, and they stand
-        still later on. Only failures and first events told of an upstream
-        before, and such a one got its full share of the requests.
+        An upstream with a congested link starts streams in time and stalls
+        later. If only failures and first events were counted, it would keep
+        its full share of the requests.
         """
         now = clock_s()
         self.events.note_passed(now)
-        if now - self._event_at > self.patience.late_s:
+        if now - self._last_event_at > self.timeouts.late_pause_s:
             self.choice.outlook.on_paused()
-        self._event_at = now
+        self._last_event_at = now
 
-    def _note_whole(self, *, is_good: bool) -> None:
+    def _record_completion(self, *, is_good: bool) -> None:
         now = clock_s()
         if is_good:
             self.choice.outlook.on_good(now - self.sent_at)
--- /dev/null
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt_log.py
@@ -0,0 +1,41 @@
+"""The log fields of an attempt, for the log line of its request."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from crowrudder_core.dispatch import Ending
+    from crowrudder_daemon.fleet_entry._attempt import Attempt
+
+IN_PROGRESS = 'under way'
+"""The logged ending of an attempt that was running when its request ended."""
+
+
+def log_fields(attempt: Attempt, ending: Ending | None) -> dict[str, Any]:
+    """Return the log fields of an attempt as JSON-compatible values.
+
+    A cancelled attempt has further fields, which show whether the entry
+    cancelled it late or its bytes were delayed.
+    """
+    left_s = attempt.begin_left_s
+    line = {
+        'upstream': attempt.choice.outlook.upstream.id,
+        'weights': attempt.choice.weights,
+        'forecast_s': round(attempt.choice.first_s, 3),
+        'begin_left_s': None if left_s is None else round(left_s, 3),
+        'first_s': round(attempt.time_to_first_event_s, 3),
+        'ran_s': round(attempt.ran_s, 3),
+        'engines': len(attempt.choice.outlooks),
+        'word_age_s': round(attempt.load_report_age_s, 2),
+        'ending': type(ending).__name__ if ending else IN_PROGRESS,
+        'why': getattr(ending, 'reason', ''),
+    }
+    if attempt.limit_per_s is not None:
+        line['limit_per_s'] = attempt.limit_per_s
+    cancellation = attempt.cancellation
+    if cancellation is not None:
+        line['late_s'] = round(cancellation.late_s, 3)
+        line['head_s'] = round(attempt.time_to_head_s, 3)
+        line['unsent_bytes'] = cancellation.unsent_bytes
+    return line
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_caller_side.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_caller_side.py
@@ -1,4 +1,4 @@
-"""A caller's side of one request, over tornado's HTTP server."""
+"""The caller's connection of a request, on Tornado's HTTP server."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection; nobody waits for an answer."""
+    """Raised when the caller has closed its connection."""
 
 
 @frozen(kw_only=True)
 class CallerRequest:
-    """A request that has been read whole."""
+    """A request that has been read completely."""
 
     method: str
     target: str
@@ -37,7 +37,7 @@
 
 
 class CallerSide:
-    """Writes one answer to a caller."""
+    """Writes the answer of one request to its caller."""
 
     def __init__(self, conn: HTTP1Connection) -> None:
         self._conn = conn
@@ -46,12 +46,12 @@
         self._on_gone: Callable[[], object] | None = None
 
     def watch(self, on_gone: Callable[[], object]) -> None:
-        """Call back once the caller has left."""
+        """Register a callback for the close of the caller's connection."""
         self._on_gone = on_gone
-        self._conn.set_close_callback(self.note_gone)
+        self._conn.set_close_callback(self.mark_gone)
 
-    def note_gone(self) -> None:
-        """Note that the connection closed."""
+    def mark_gone(self) -> None:
+        """Record that the connection has closed, and call back."""
         self.is_gone = True
         callback, self._on_gone = self._on_gone, None
         if callback is not None:
@@ -63,28 +63,29 @@
         headers: list[tuple[str, str]],
         body: bytes = b'',
     ) -> None:
-        """Send status and headers; without a length the body is in chunks."""
+        """Send status and headers; without a length the body is chunked."""
         self.has_begun = True
         fields = HTTPHeaders()
         for name, text in headers:
             fields.add(name, text)
-        line = ResponseStartLine('HTTP/1.1', status, _phrase(status))
-        await self._sent(self._conn.write_headers, line, fields, body)
+        line = ResponseStartLine('HTTP/1.1', status, _reason_phrase(status))
+        await self._send(self._conn.write_headers, line, fields, body)
 
     async def write(self, piece: bytes) -> None:
-        """Send a part of the body; waits while the caller reads slowly."""
+        """Send a part of the body; wait while the caller reads slowly."""
         if piece:
-            await self._sent(self._conn.write, piece)
+            await self._send(self._conn.write, piece)
 
     def push(self, piece: bytes) -> asyncio.Future[None] | None:
-        """Send a part of the body; give what is done once it has left.
+        """Send a part of the body without waiting.
 
-        None where it has left already.
+        Return a future that is done once the part has been written, or None
+        if it has been written already.
 
         Raises
         ------
         CallerGoneError
-            When the caller has left.
+            If the caller has left.
         """
         if self.is_gone:
             raise CallerGoneError
@@ -97,13 +98,13 @@
         return None
 
     def finish(self) -> None:
-        """End the answer as a whole one."""
+        """Mark the answer as complete."""
         self._on_gone = None
         if not self.is_gone:
             self._conn.finish()
 
-    def cut(self) -> None:
-        """Close the connection, so that the answer looks as cut as it is."""
+    def abort(self) -> None:
+        """Close the connection, so that the caller sees a truncated answer."""
         self._on_gone = None
         self._conn.close()
 
@@ -113,12 +114,12 @@
         headers: list[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer with its length."""
         sized = [*headers, ('Content-Length', str(len(body)))]
         await self.begin(status, sized, body)
         self.finish()
 
-    async def _sent(self, write: Callable[..., Any], *args: object) -> None:
+    async def _send(self, write: Callable[..., Any], *args: object) -> None:
         if self.is_gone:
             raise CallerGoneError
         try:
@@ -129,12 +130,12 @@
 
 
 class CallersServer(HTTPServerConnectionDelegate):
-    """Reads whole requests and hands each on with its caller's side.
+    """Reads requests and calls ``on_request`` with each complete one.
 
     Parameters
     ----------
     on_request
-        Takes each request; its work goes on beside the connection.
+        Receives the request and its ``CallerSide``; must not block.
     """
 
     def __init__(
@@ -148,15 +149,15 @@
         server_conn: object,
         request_conn: Any,
     ) -> HTTPMessageDelegate:
-        """Begin to read a request."""
-        return _Reading(request_conn, self._on_request)
+        """Return the reader of a new request."""
+        return _RequestReader(request_conn, self._on_request)
 
     def on_close(self, server_conn: object) -> None:
-        """Take note of a closed connection; its request was told already."""
+        """Do nothing: the reader of the request was notified already."""
 
 
-class _Reading(HTTPMessageDelegate):
-    """A request whose bytes are coming in."""
+class _RequestReader(HTTPMessageDelegate):
+    """Collects the head and the body of one request."""
 
     def __init__(
         self,
@@ -184,7 +185,7 @@
     def finish(self) -> None:
         line = self._line
         if line is None:
-            self._side.cut()
+            self._side.abort()
             return
         request = CallerRequest(
             method=line.method,
@@ -195,10 +196,10 @@
         self._on_request(request, self._side)
 
     def on_connection_close(self) -> None:
-        self._side.note_gone()
+        self._side.mark_gone()
 
 
-def _phrase(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_parts.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_context.py
@@ -1,4 +1,4 @@
-"""What the requests of an entry share."""
+"""The objects and metrics that all requests of an entry share."""
 
 from __future__ import annotations
 
@@ -12,51 +12,52 @@
     from crowrudder_daemon.fleet_entry._upstreams import Upstreams
     from crowrudder_daemon.process import Runtime
 
-REQUEST_SECONDS = (
+REQUEST_BOUNDS_S = (
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 2, 4, 8,
 )  # fmt: skip
 
-OWN_SECONDS = (0.0005, 0.001, 0.002, 0.003, 0.005, 0.01, 0.02, 0.05, 0.1)
-"""Bounds for what an entry itself takes; a request's time would hide it."""
+SEND_BOUNDS_S = (0.0005, 0.001, 0.002, 0.003, 0.005, 0.01, 0.02, 0.05, 0.1)
+"""Bounds for the time that the entry itself takes, which the time of a request
+would hide."""
 
 
 @define
-class EntryParts:
-    """The dialect, the upstreams and the books of an entry."""
+class EntryContext:
+    """The dialect, the upstreams, the quarantine and the request metrics."""
 
     dialect: CallersDialect
     upstreams: Upstreams
     quarantine: RequestQuarantine
     _runtime: Runtime
-    _ends: Any = field(init=False)
-    _took: Any = field(init=False)
-    _first: Any = field(init=False)
-    _sent: Any = field(init=False)
+    _outcomes: Any = field(init=False)
+    _duration: Any = field(init=False)
+    _first_event: Any = field(init=False)
+    _first_send: Any = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Declare the metrics of requests."""
         metrics = self._runtime.metrics
-        self._ends = metrics.counter(
+        self._outcomes = metrics.counter(
             'fleet_requests',
             'Requests by how they ended.',
             labels=('outcome', 'service'),
         )
-        self._took = metrics.histogram(
+        self._duration = metrics.histogram(
             'fleet_request_seconds',
             'Time from a request to the end of its answer.',
             labels=('outcome',),
-            bounds=REQUEST_SECONDS,
+            bounds=REQUEST_BOUNDS_S,
         )
-        self._first = metrics.histogram(
+        self._first_event = metrics.histogram(
             'fleet_first_event_seconds',
             'Time from a request to the first event of its stream.',
-            bounds=REQUEST_SECONDS,
+            bounds=REQUEST_BOUNDS_S,
         )
 
-        self._sent = metrics.histogram(
+        self._first_send = metrics.histogram(
             'fleet_request_sent_seconds',
             'Time from a request to its first send to an upstream.',
-            bounds=OWN_SECONDS,
+            bounds=SEND_BOUNDS_S,
         )
 
     def note_end(
@@ -68,9 +69,9 @@
     ) -> None:
         """Log and count how a request ended."""
         self._runtime.log.info('request ended', extra=extra)
-        self._ends.add(outcome=outcome, service=extra['service'])
-        self._took.record(extra['took_s'], outcome=outcome)
+        self._outcomes.add(outcome=outcome, service=extra['service'])
+        self._duration.record(extra['took_s'], outcome=outcome)
         if extra['first_s'] >= 0:
-            self._first.record(extra['first_s'])
+            self._first_event.record(extra['first_s'])
         if extra['sent_s'] >= 0:
-            self._sent.record(extra['sent_s'])
+            self._first_send.record(extra['sent_s'])
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_directory.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_directory.py
@@ -1,4 +1,4 @@
-"""Where callers learn which entry to use, and whether this one is ready."""
+"""The HTTP endpoints for the list of entries and for readiness."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     from crowrudder_daemon.fleet.ports import CallersDialect
     from crowrudder_model.messages import MemberWord
 
-MOST_ADDRESSES = 64
-"""More aren't taken by callers."""
+MAX_ADDRESSES = 64
+"""Callers accept no more addresses than this."""
 
 
 class EntriesHandler(RequestHandler):
-    """Tells callers which entries to use."""
+    """Serves the addresses of the entries that callers should use."""
 
     def initialize(self, directory: Directory) -> None:
-        """Take what is shared."""
+        """Store the directory that both handlers share."""
         self._directory = directory
 
     def get(self) -> None:
-        """Give the addresses of entries that are ready."""
+        """Return the addresses of the entries that are ready."""
         arguments = {
             name: self.get_query_argument(name, '')
             for name in self.request.query_arguments
@@ -36,20 +36,20 @@
 
 
 class ReadyHandler(RequestHandler):
-    """Says whether callers may be sent here."""
+    """Serves the readiness of this entry."""
 
     def initialize(self, directory: Directory) -> None:
-        """Take what is shared."""
+        """Store the directory that both handlers share."""
         self._directory = directory
 
     def get(self) -> None:
-        """Answer 200 when ready, else 503."""
+        """Return status 200 if this entry is ready, else 503."""
         self.set_status(200 if self._directory.is_ready() else 503)
         self.finish(b'')
 
 
 class Directory:
-    """Chooses the addresses that callers are given."""
+    """Selects the entry addresses that callers receive."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self._ttl_s = ttl_s
 
     def application(self) -> Application:
-        """Give the two pages."""
+        """Return the web application with both endpoints."""
         shared = {'directory': self}
         return Application(
             [
@@ -78,20 +78,20 @@
         )
 
     def answer(self, arguments: dict[str, str]) -> bytes:
-        """Write the answer for a caller."""
+        """Return the encoded answer for a caller."""
         return self._dialect.directory_answer(self.addresses(), self._ttl_s)
 
     def addresses(self) -> list[str]:
-        """Give the entries that are ready, else those that aren't leaving.
+        """Return the ready entries, else those that are not leaving.
 
-        An answer without addresses counts as none at all: while a fleet
-        starts, callers had better wait at an entry than ask around.
+        Callers treat an answer without addresses as a failure. While a fleet
+        starts, they should wait at an entry instead of retrying elsewhere.
         """
-        words = [word for word in self._entries() if word.callers]
-        staying = [word for word in words if not word.leaving]
-        ready = [word for word in staying if word.ready]
-        chosen = ready or staying or words
-        found = [word.callers for word in chosen] or [self._own]
-        if len(found) > MOST_ADDRESSES:
-            found = ranked(self._own, found)[:MOST_ADDRESSES]
+        listed = [entry for entry in self._entries() if entry.callers]
+        staying = [entry for entry in listed if not entry.leaving]
+        ready = [entry for entry in staying if entry.ready]
+        chosen = ready or staying or listed
+        found = [entry.callers for entry in chosen] or [self._own]
+        if len(found) > MAX_ADDRESSES:
+            found = ranked(self._own, found)[:MAX_ADDRESSES]
         return found
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_own_answer.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_error_answer.py
@@ -1,4 +1,4 @@
-"""Answers of the entry's own: refusals, and failures without an answer."""
+"""Error answers of the entry itself: refusals and failures."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 @frozen(kw_only=True)
-class OwnAnswer:
-    """What a caller is told when no upstream's answer can be passed on.
+class ErrorAnswer:
+    """An answer for a caller when no upstream's answer can be forwarded.
 
-    ``code`` tells programs what happened, ``reason`` people. With
-    ``retry_after_s`` the request hasn't run, and is welcome after so long.
+    ``code`` is for programs, ``reason`` for people. ``retry_after_s`` means
+    that the request was not executed and may be sent again after that time.
     """
 
     status: HTTPStatus
@@ -28,13 +28,13 @@
     retry_after_s: float | None = None
 
 
-async def send_own(
+async def send_error(
     side: CallerSide,
     dialect: CallersDialect,
     call: Call | None,
-    answer: OwnAnswer,
+    answer: ErrorAnswer,
 ) -> None:
-    """Write an answer of the entry's own.
+    """Send an error answer of the entry to the caller.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
     Raises
     ------
     CallerGoneError
-        When nobody waits for it any more.
+        If the caller has left.
     """
     headers = dialect.own_headers(call)
     headers.append(('Content-Type', 'application/json'))
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
@@ -1,4 +1,4 @@
-"""Keep the limits that upstreams name, together with all other entries."""
+"""Enforce the rate limits that upstreams name, jointly with all entries."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.messages import LimitWord
 
-SENDERS_STAND_S = 0.25
-"""How long it stands who sends to a limited upstream: working it out takes as
-long as there are entries."""
+SENDERS_CACHE_S = 0.25
+"""How long the share of a limited upstream is cached: computing who sends to it
+takes time proportional to the number of entries."""
 
-MOST_WORDS = 16
-"""Words of a datagram that are read."""
+MAX_UPDATES_PER_DATAGRAM = 16
+"""Updates read from one datagram; further ones are ignored."""
 
 
 class UpstreamLimits:
-    """Limits by upstream, and the words on them between entries.
+    """Rate limits by upstream, and the updates on them between entries.
 
     Parameters
     ----------
     region_of
-        Gives the region of an upstream by its id.
+        Returns the region of an upstream by its id.
     """
 
     def __init__(
@@ -42,65 +42,65 @@
         self._runtime = runtime
         self._peers = peers
         self._region_of = region_of
-        self._limits = NamedLimits(self._part_of)
-        self._parts: dict[str, tuple[float, float, float]] = {}
-        self._kept = runtime.metrics.counter(
+        self._limits = NamedLimits(self._share_of)
+        self._shares: dict[str, tuple[float, float, float]] = {}
+        self._diverted = runtime.metrics.counter(
             'upstream_limits_kept',
-            'Sends that went elsewhere as an upstream had named a limit.',
+            'Sends that went elsewhere because an upstream had named a limit.',
         )
 
     def on_answer(self, upstream_id: str, per_s: float | None) -> None:
-        """Take what an upstream's answer says of its limit."""
-        word = self._limits.on_answer(upstream_id, per_s, now=clock_s())
-        if word is not None:
-            self._log(word, self._peers.roster.own.ip)
-            self._peers.tell_partners(LimitNews((word,)))
+        """Apply the limit that an upstream's answer names, if any."""
+        update = self._limits.on_answer(upstream_id, per_s, now=clock_s())
+        if update is not None:
+            self._log(update, self._peers.roster.own.ip)
+            self._peers.tell_partners(LimitNews((update,)))
 
     def on_news(self, ip: str, news: LimitNews) -> None:
-        """Take what another entry heard."""
+        """Apply updates from another entry and send the new ones on."""
         if not self._peers.roster.knows(ip, now=clock_s()):
             self._runtime.log.debug(
-                'word on limits from an unknown host',
+                'limit update from an unknown host',
                 extra={'step': 'limit', 'peer': ip},
             )
             return
-        for word in news.words[:MOST_WORDS]:
-            if self._limits.on_word(word, now=clock_s()) is not None:
-                self._log(word, ip)
-                self._peers.tell_partners(LimitNews((word,)))
+        for update in news.words[:MAX_UPDATES_PER_DATAGRAM]:
+            if self._limits.on_word(update, now=clock_s()) is not None:
+                self._log(update, ip)
+                self._peers.tell_partners(LimitNews((update,)))
 
     def has_room(self, upstream_id: str) -> bool:
-        """Whether a request may be sent to an upstream now."""
+        """Return whether a request may be sent to an upstream now."""
         return self._limits.has_room(upstream_id, now=clock_s())
 
     def take(self, upstream_id: str) -> bool:
-        """Spend a request, if there is a limit and it allows one."""
+        """Count a send; return whether the limit of the upstream allows it."""
         if self._limits.take(upstream_id, now=clock_s()):
             return True
-        self._kept.add()
+        self._diverted.add()
         return False
 
     def wait_s(self, upstream_ids: Iterable[str]) -> float:
-        """Give the seconds until a limit lets a request pass from here."""
+        """Return the seconds until a limit allows this entry a request."""
         return self._limits.wait_s(upstream_ids, now=clock_s())
 
     def on_gone(self, upstream_id: str) -> None:
-        """Forget an upstream whose life has ended."""
+        """Remove an upstream whose incarnation has ended."""
         self._limits.on_gone(upstream_id)
-        self._parts.pop(upstream_id, None)
+        self._shares.pop(upstream_id, None)
 
-    def _part_of(self, upstream_id: str, per_s: float) -> float:
+    def _share_of(self, upstream_id: str, per_s: float) -> float:
         now = clock_s()
-        known = self._parts.get(upstream_id)
+        known = self._shares.get(upstream_id)
         if known is not None:
-            part, for_per_s, at = known
-            if for_per_s == per_s and now - at < SENDERS_STAND_S:
-                return part
-        part = self._work_out(upstream_id, per_s)
-        self._parts[upstream_id] = (part, per_s, now)
-        return part
-
-    def _work_out(self, upstream_id: str, per_s: float) -> float:
+            share, for_per_s, at = known
+            if for_per_s == per_s and now - at < SENDERS_CACHE_S:
+                return share
+        share = self._compute_share(upstream_id, per_s)
+        self._shares[upstream_id] = (share, per_s, now)
+        return share
+
+    def _compute_share(self, upstream_id: str, per_s: float) -> float:
         near, far = split_by_region(
             self._peers.entries(), self._region_of(upstream_id)
         )
@@ -108,14 +108,14 @@
         is_sender = self._peers.roster.own.ip in senders
         return 1 / len(senders) if is_sender else 0
 
-    def _log(self, word: LimitWord, teller: str) -> None:
+    def _log(self, update: LimitWord, source_ip: str) -> None:
         self._runtime.log.info(
             'limit of an upstream',
             extra={
                 'step': 'limit',
-                'upstream': word.upstream_id,
-                'per_s': word.per_s,
-                'teller': teller,
-                'age_s': word.age_ms / 1000,
+                'upstream': update.upstream_id,
+                'per_s': update.per_s,
+                'teller': source_ip,
+                'age_s': update.age_ms / 1000,
             },
         )
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_load_relay.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_load_relay.py
@@ -1,4 +1,4 @@
-"""Pass words on the load of a region's engines on to other regions."""
+"""Forward the load reports of a region's engines to other regions."""
 
 from __future__ import annotations
 
@@ -16,101 +16,105 @@
     from crowrudder_daemon.fleet import PeersTask
     from crowrudder_model.fleet import Node
 
-EVERY_S = 0.6
-"""Between two batches of one relay to a region; there are two relays.
+BATCH_INTERVAL_S = 0.6
+"""Interval of the batches from one of the two relays to another region.
 
-Its entries send here where their own region is full; bytes between regions
-are few and paid for. What decides whether they may send at all the agents
-tell them at once.
+Entries send requests to another region when their own is full. Bandwidth
+between regions is scarce and paid for. Agents send the changes that decide
+whether an engine takes requests at all to all entries at once.
 """
 
-YOUNG_S = 0.6
-"""Age up to which a word is passed on: agents repeat theirs every 0.4 s, and
-the word of one that died must not be kept alive."""
+MAX_RELAYED_AGE_S = 0.6
+"""Age up to which a report is forwarded. Agents repeat theirs every 0.4 s; the
+report of an agent that has died must expire."""
 
-MOST_LOADS = 24
-"""Words in one batch, which must fit into one datagram."""
+MAX_LOADS_PER_BATCH = 24
+"""Load reports in one batch, which must fit into one datagram."""
 
 _MS = 1000
 
 
 @frozen
-class _Word:
+class _Report:
     load: EngineLoad
-    heard_at: float
+    received_at: float
 
 
 @define(eq=False)
 class LoadRelay:
-    """Tells other regions what the agents of the own one say.
+    """Forwards load reports of the own region's agents to other regions.
 
-    What goes wrong when each agent tells every entry of every region: its
-    words grow with the whole fleet, seen as links between regions that carry
-    little else. Two entries of a region, which all work out alike, send its
-    words in batches to two of each other region, and these tell their own.
+    If each agent sent its reports to every entry of every region, their number
+    would grow with the whole fleet and fill the links between regions. Instead
+    two entries of a region, which all entries compute alike, send its reports
+    in batches to two entries of each other region, and these forward them
+    within their region.
     """
 
     _node: Node
     _peers: PeersTask
-    _words: dict[str, _Word] = field(factory=dict)
+    _reports: dict[str, _Report] = field(factory=dict)
 
     def on_load(self, load: EngineLoad) -> None:
-        """Take the word of an agent of the own region."""
+        """Record the load report of an agent of the own region."""
         load = replace(load, is_close=False)
-        self._words[load.address] = _Word(load, clock_s())
+        self._reports[load.address] = _Report(load, clock_s())
 
-    def pass_on(self, batch: LoadBatch) -> None:
-        """Tell the entries of the own region what came from another one."""
+    def forward(self, batch: LoadBatch) -> None:
+        """Forward a batch from another region to the entries of the own one."""
         near, _ = self._peers.entry_ips()
         self._peers.tell(
             replace(batch, pass_on=False),
             [ip for ip in near if ip != self._node.ip],
         )
 
-    async def tell_for_ever(self) -> None:
-        """Tell the other regions, while it is this entry's part."""
+    async def send_forever(self) -> None:
+        """Send batches to the other regions while this entry is a relay."""
         while True:
-            await sleep_to_tick(EVERY_S)
-            self._tell()
+            await sleep_to_tick(BATCH_INTERVAL_S)
+            self._send_batches()
 
-    def _tell(self) -> None:
+    def _send_batches(self) -> None:
         targets = self._targets()
         if not targets:
             return
         now = clock_s()
-        words = self._young(now)
-        for first in range(0, len(words), MOST_LOADS):
-            part = words[first : first + MOST_LOADS]
+        reports = self._recent_reports(now)
+        for first in range(0, len(reports), MAX_LOADS_PER_BATCH):
+            part = reports[first : first + MAX_LOADS_PER_BATCH]
             self._peers.tell(_batch(part, now), targets)
 
     def _targets(self) -> list[str]:
-        """Give the relays of the other regions; none unless this is one.
+        """Return the target relay of each other region; none if not a relay.
 
-        The first of a region tells the first of each other one, and so on:
-        each word crosses twice, so that one of the four may be dead.
+        The first relay of a region sends to the first of each other region,
+        the second to the second. Each report crosses twice, so that one of the
+        four relays may be down.
         """
-        words = self._peers.entries()
+        entries = self._peers.entries()
         region = self._node.place.region
-        own = relays(words, region)
+        own = relays(entries, region)
         if self._node.ip not in own:
             return []
         rank = own.index(self._node.ip)
-        others = {word.region for word in words} - {region}
-        found = (relays(words, other) for other in sorted(others))
+        others = {entry.region for entry in entries} - {region}
+        found = (relays(entries, other) for other in sorted(others))
         return [ips[rank % len(ips)] for ips in found if ips]
 
-    def _young(self, now: float) -> list[_Word]:
-        self._words = {
-            address: word
-            for address, word in self._words.items()
-            if now - word.heard_at <= YOUNG_S
+    def _recent_reports(self, now: float) -> list[_Report]:
+        self._reports = {
+            address: report
+            for address, report in self._reports.items()
+            if now - report.received_at <= MAX_RELAYED_AGE_S
         }
-        return list(self._words.values())
+        return list(self._reports.values())
 
 
-def _batch(words: list[_Word], now: float) -> LoadBatch:
+def _batch(reports: list[_Report], now: float) -> LoadBatch:
     return LoadBatch(
-        loads=tuple(word.load for word in words),
-        ages_ms=tuple(int((now - word.heard_at) * _MS) for word in words),
+        loads=tuple(report.load for report in reports),
+        ages_ms=tuple(
+            int((now - report.received_at) * _MS) for report in reports
+        ),
         pass_on=True,
     )
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
@@ -1,4 +1,4 @@
-"""Keep requests from upstreams that end under them, with all other entries."""
+"""Quarantine requests that crash upstreams, jointly with all other entries."""
 
 from __future__ import annotations
 
@@ -26,85 +26,89 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.messages import SuspectWord
 
-REMIND_EVERY_S = 1.0
-"""Between two reminders to one other entry of what all are to know."""
+REMINDER_INTERVAL_S = 1.0
+"""Interval of the reminders, each of which goes to one random other entry."""
 
-MOST_LOGGED = 16
-"""Digests in one log line."""
+MAX_LOGGED_DIGESTS = 16
+"""Limit of digests in one log line."""
 
 
-class UnderWay(Protocol):
-    """A request that may be at an upstream."""
+class ActiveRequest(Protocol):
+    """A request in progress, which may run on an upstream."""
 
     digest: int
 
     def on_convicted(self) -> None:
-        """Take note that it is to be sent to no upstream any more."""
+        """Stop sending the request to upstreams."""
 
 
 class RequestQuarantine:
-    """Tells the aggregate what happens here, and carries out what follows."""
+    """Feeds local events to the quarantine state and applies its effects."""
 
     def __init__(self, runtime: Runtime, peers: PeersTask) -> None:
         self._runtime = runtime
         self._peers = peers
         self._random = random.Random(runtime.incarnation)
         self._core = Quarantine()
-        self._under_way: defaultdict[int, set[UnderWay]] = defaultdict(set)
+        self._active: defaultdict[int, set[ActiveRequest]] = defaultdict(set)
         metrics = runtime.metrics
         self._ends = metrics.counter(
             'quarantine_upstream_ends',
-            'Upstreams that ended while they had requests of this entry.',
+            'Upstreams that ended while they ran requests of this entry.',
         )
-        self._convicted = metrics.counter(
+        self._quarantined = metrics.counter(
             'quarantine_verdicts',
-            'Requests that are sent to no upstream any more.',
+            'Requests that were quarantined: they are sent to no upstream.',
         )
         self._refused = metrics.counter(
             'quarantine_refusals',
-            'Arrivals of such requests that were refused.',
+            'Refused arrivals of quarantined requests.',
         )
 
-    def enter(self, request: UnderWay) -> None:
-        """Take a request that is under way from now on."""
-        self._under_way[request.digest].add(request)
+    def track(self, request: ActiveRequest) -> None:
+        """Add a request that is in progress."""
+        self._active[request.digest].add(request)
 
-    def leave(self, request: UnderWay) -> None:
-        """Forget a request that has its final answer."""
-        same = self._under_way[request.digest]
-        same.discard(request)
-        if not same:
-            del self._under_way[request.digest]
+    def untrack(self, request: ActiveRequest) -> None:
+        """Remove a request that has its final answer."""
+        requests = self._active[request.digest]
+        requests.discard(request)
+        if not requests:
+            del self._active[request.digest]
 
     def is_convicted(self, digest: int) -> bool:
-        """Whether a request is to be sent to no upstream any more."""
+        """Return whether a request is quarantined."""
         return self._core.is_convicted(digest, now=clock_s())
 
     def refuse(self, digest: int) -> str:
-        """Count a refusal; give its reason."""
+        """Record a refusal and return its reason."""
         now = clock_s()
         self._refused.add()
         self._core.on_refused(digest, now=now)
-        lives = ', '.join(self._core.lives_under(digest, now=now))
-        return f'upstreams ended under this request: {lives}'
+        ended = ', '.join(self._core.lives_under(digest, now=now))
+        return f'upstreams ended under this request: {ended}'
 
     def may_send_again(self, digest: int) -> bool:
-        """Whether another upstream may be tried after a break."""
+        """Return whether a broken request may be sent to another upstream."""
         return self._core.may_send_again(digest, now=clock_s())
 
     def on_broken(
-        self, digest: int, lives: Iterable[str], *, ran_s: float
+        self, digest: int, incarnation_ids: Iterable[str], *, ran_s: float
     ) -> None:
-        """Take a run whose connection was closed by its upstream."""
-        self._core.on_broken(digest, lives, ran_s=ran_s, now=clock_s())
+        """Record an attempt whose connection was closed by the upstream."""
+        self._core.on_broken(
+            digest, incarnation_ids, ran_s=ran_s, now=clock_s()
+        )
 
-    def on_life_sound(self, life: str, *, age_s: float) -> None:
-        """Take that an upstream was there so long ago."""
-        self._core.on_sound(life, as_of=clock_s() - age_s)
+    def on_incarnation_alive(
+        self, incarnation_id: str, *, age_s: float
+    ) -> None:
+        """Record that an incarnation was running ``age_s`` ago."""
+        self._core.on_sound(incarnation_id, as_of=clock_s() - age_s)
 
-    def on_life_ended(self, life: str) -> None:
-        """Take that an upstream's life ended."""
-        effects = self._core.on_ended(life, now=clock_s())
+    def on_incarnation_ended(self, incarnation_id: str) -> None:
+        """Record that an upstream's incarnation has ended."""
+        effects = self._core.on_ended(incarnation_id, now=clock_s())
         if not effects:
             return
         self._ends.add()
@@ -117,74 +121,76 @@
             'upstream ended under requests',
             extra={
                 'step': 'quarantine',
-                'upstream': life,
+                'upstream': incarnation_id,
                 'requests': len(digests),
-                'digests': digests[:MOST_LOGGED],
+                'digests': digests[:MAX_LOGGED_DIGESTS],
             },
         )
-        self._carry_out(effects)
+        self._apply(effects)
 
     def on_whole(self, digest: int) -> None:
-        """Take that a run ended whole."""
+        """Record that a request received a complete answer."""
         effects = self._core.on_whole(digest, now=clock_s())
         if effects:
             self._runtime.log.info(
                 'request ran whole and is cleared',
                 extra={'step': 'quarantine', 'digest': digest_text(digest)},
             )
-            self._carry_out(effects)
+            self._apply(effects)
 
     def on_news(self, ip: str, news: SuspectNews) -> None:
-        """Take what another entry tells of some requests."""
+        """Apply the updates of another entry."""
         if not self._peers.roster.knows(ip, now=clock_s()):
             self._runtime.log.debug(
-                'word on suspects from an unknown host',
+                'suspect update from an unknown host',
                 extra={'step': 'quarantine', 'peer': ip},
             )
             return
-        self._carry_out(self._core.on_news(news, now=clock_s()))
+        self._apply(self._core.on_news(news, now=clock_s()))
 
-    async def remind_for_ever(self) -> None:
-        """Tell entries that have started or missed it what all are to know."""
+    async def send_reminders(self) -> None:
+        """Repeat updates for entries that have started since or missed them."""
         while True:
-            await sleep_to_tick(REMIND_EVERY_S)
-            words = self._core.reminder(self._random, now=clock_s())
+            await sleep_to_tick(REMINDER_INTERVAL_S)
+            updates = self._core.reminder(self._random, now=clock_s())
             others = self._others()
-            if words and others:
-                self._tell(words, [self._random.choice(others)])
+            if updates and others:
+                self._send(updates, [self._random.choice(others)])
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _apply(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Tell(word=word, audience=Audience.PARTNERS):
-                    self._peers.tell_partners(SuspectNews((word,)))
-                case Tell(word=word):
-                    ips = owners(word.digest, self._entry_ips())
-                    self._tell([word], self._without_own(ips))
-                case Convicted(digest=digest, lives=lives):
-                    self._on_convicted(digest, lives)
-
-    def _on_convicted(self, digest: int, lives: tuple[str, ...]) -> None:
-        self._convicted.add()
-        same = tuple(self._under_way.get(digest, ()))
+                case Tell(word=update, audience=Audience.PARTNERS):
+                    self._peers.tell_partners(SuspectNews((update,)))
+                case Tell(word=update):
+                    ips = owners(update.digest, self._entry_ips())
+                    self._send([update], self._without_own(ips))
+                case Convicted(digest=digest, lives=incarnation_ids):
+                    self._on_convicted(digest, incarnation_ids)
+
+    def _on_convicted(
+        self, digest: int, incarnation_ids: tuple[str, ...]
+    ) -> None:
+        self._quarantined.add()
+        requests = tuple(self._active.get(digest, ()))
         self._runtime.log.warning(
             'request quarantined',
             extra={
                 'step': 'quarantine',
                 'digest': digest_text(digest),
-                'upstreams': list(lives),
-                'under_way': len(same),
+                'upstreams': list(incarnation_ids),
+                'under_way': len(requests),
             },
         )
-        for request in same:
+        for request in requests:
             request.on_convicted()
 
-    def _tell(self, words: list[SuspectWord], ips: list[str]) -> None:
+    def _send(self, updates: list[SuspectWord], ips: list[str]) -> None:
         if ips:
-            self._peers.tell(SuspectNews(tuple(words)), ips)
+            self._peers.tell(SuspectNews(tuple(updates)), ips)
 
     def _entry_ips(self) -> list[str]:
-        return [word.ip for word in self._peers.entries()]
+        return [entry.ip for entry in self._peers.entries()]
 
     def _others(self) -> list[str]:
         return self._without_own(self._entry_ips())
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_requests_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_requests_task.py
@@ -1,4 +1,4 @@
-"""The task that takes callers' requests in and knows those under way."""
+"""The task that admits callers' requests and tracks those in progress."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from crowrudder_daemon.fleet.ports import BadCallError
 from crowrudder_daemon.fleet_entry._caller_side import CallerGoneError
 from crowrudder_daemon.fleet_entry._drive import Admitted, Drive
-from crowrudder_daemon.fleet_entry._own_answer import OwnAnswer, send_own
+from crowrudder_daemon.fleet_entry._error_answer import ErrorAnswer, send_error
 
 if TYPE_CHECKING:
     from crowrudder_daemon.fleet import CatalogTask
@@ -19,57 +19,60 @@
         CallerRequest,
         CallerSide,
     )
-    from crowrudder_daemon.fleet_entry._parts import EntryParts
+    from crowrudder_daemon.fleet_entry._context import EntryContext
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.fleet import FleetConfig, Route
 
-RETRY_S = 0.3
-"""When to come back where this entry lacks knowledge or leaves."""
+RETRY_AFTER_S = 0.3
+"""Delay before a retry if this entry has no current configuration or is
+leaving."""
 
-MOST_URGENCY = 9
+MAX_URGENCY = 9
 
 
 class RequestsTask:
-    """Owns the requests under way; each is a job of its own."""
+    """Owns the requests in progress; each runs in its own asyncio task."""
 
     def __init__(
         self,
         runtime: Runtime,
         catalog: CatalogTask,
-        parts: EntryParts,
+        context: EntryContext,
     ) -> None:
         self._runtime = runtime
         self._catalog = catalog
-        self._parts = parts
-        self._jobs: set[asyncio.Task[None]] = set()
+        self._context = context
+        self._request_tasks: set[asyncio.Task[None]] = set()
         self.refuses = False
         self._denials = runtime.metrics.counter(
             'fleet_denials',
-            'Requests answered without a choice of an upstream, by status.',
+            'Requests denied before an upstream was chosen, by status.',
             labels=('status',),
         )
         runtime.metrics.gauge(
             'fleet_requests_open',
             'Requests without their final answer.',
-            lambda: float(len(self._jobs)),
+            lambda: float(len(self._request_tasks)),
         )
 
     @property
     def running(self) -> int:
-        """Requests without their final answer."""
-        return len(self._jobs)
+        """Number of requests without a final answer."""
+        return len(self._request_tasks)
 
     def on_request(self, request: CallerRequest, side: CallerSide) -> None:
-        """Begin a request; its job ends when its caller leaves."""
-        job = asyncio.ensure_future(self._serve(request, side, clock_s()))
-        self._jobs.add(job)
-        job.add_done_callback(self._on_done)
-        side.watch(job.cancel)
+        """Start the task of a request; it is cancelled if the caller leaves."""
+        request_task = asyncio.ensure_future(
+            self._serve(request, side, clock_s())
+        )
+        self._request_tasks.add(request_task)
+        request_task.add_done_callback(self._on_done)
+        side.watch(request_task.cancel)
 
     async def idle(self) -> None:
-        """Wait until nothing is under way."""
-        while self._jobs:
-            await asyncio.wait(set(self._jobs))
+        """Wait until no request is in progress."""
+        while self._request_tasks:
+            await asyncio.wait(set(self._request_tasks))
 
     async def _serve(
         self,
@@ -78,7 +81,7 @@
         arrived_at: float,
     ) -> None:
         try:
-            call = self._parts.dialect.read_call(
+            call = self._context.dialect.read_call(
                 request.method,
                 request.target,
                 request.headers,
@@ -89,17 +92,17 @@
             await self._deny(side, None, denial)
             return
         admitted = self._admit(call, request)
-        if isinstance(admitted, OwnAnswer):
+        if isinstance(admitted, ErrorAnswer):
             await self._deny(side, call, admitted)
             return
-        self._parts.upstreams.on_request(admitted.service)
+        self._context.upstreams.on_request(admitted.service)
         drive = Drive(
             call=call,
             body=request.body,
             admitted=admitted,
             arrived_at=arrived_at,
             side=side,
-            parts=self._parts,
+            context=self._context,
         )
         await drive.run()
 
@@ -107,12 +110,12 @@
         self,
         call: Call,
         request: CallerRequest,
-    ) -> Admitted | OwnAnswer:
-        """Decide by configuration whether a request is served at all."""
+    ) -> Admitted | ErrorAnswer:
+        """Return the admitted request, or a denial by the configuration."""
         config = self._catalog.view.config
         if config is None or self.refuses:
             reason = 'leaving' if self.refuses else 'no configuration yet'
-            return _come_back(reason)
+            return _retry_later(reason)
         if len(request.body) > config.limits.body_bytes:
             return _denial(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
@@ -120,7 +123,7 @@
             )
         route = self._catalog.view.routes.find(call.host, call.path)
         if route is None:
-            return self._unknown(HTTPStatus.NOT_FOUND, 'no such route')
+            return self._deny_unknown(HTTPStatus.NOT_FOUND, 'no such route')
         return self._admit_on(route, config, call)
 
     def _admit_on(
@@ -128,39 +131,43 @@
         route: Route,
         config: FleetConfig,
         call: Call,
-    ) -> Admitted | OwnAnswer:
+    ) -> Admitted | ErrorAnswer:
         customer = None
         if config.asks_for_keys and not route.public:
             customer = config.customer_of(call.key)
             if customer is None:
-                return self._unknown(HTTPStatus.UNAUTHORIZED, 'unknown key')
+                return self._deny_unknown(
+                    HTTPStatus.UNAUTHORIZED, 'unknown key'
+                )
         urgency = route.priority
         if customer is not None and customer.priority is not None:
             urgency = customer.priority
         weights = [target.weight for target in route.targets]
-        drawn = self._parts.upstreams.draw(weights)
+        sampled = self._context.upstreams.sample_index(weights)
         return Admitted(
             route=route,
-            service=route.targets[drawn].service,
+            service=route.targets[sampled].service,
             customer=customer.name if customer else '',
-            urgency=min(max(urgency, 0), MOST_URGENCY),
+            urgency=min(max(urgency, 0), MAX_URGENCY),
         )
 
-    def _unknown(self, status: HTTPStatus, reason: str) -> OwnAnswer:
-        """Turn a caller away for good only on knowledge that isn't old.
+    def _deny_unknown(self, status: HTTPStatus, reason: str) -> ErrorAnswer:
+        """Return a final denial only if the configuration is current.
 
-        A process that was cut off doesn't know of keys and routes that were
-        added meanwhile; a proper request would be lost by its refusal.
+        A process that was disconnected doesn't know keys and routes that were
+        added meanwhile; its denial would lose a valid request.
         """
         if self._catalog.is_current():
             return _denial(status, reason)
-        return _come_back(f'{reason}, by knowledge that may be old')
+        return _retry_later(
+            f'{reason}, but the configuration may be out of date'
+        )
 
     async def _deny(
         self,
         side: CallerSide,
         call: Call | None,
-        denial: OwnAnswer,
+        denial: ErrorAnswer,
     ) -> None:
         self._denials.add(status=str(denial.status.value))
         self._runtime.log.info(
@@ -176,28 +183,31 @@
             },
         )
         try:
-            await send_own(side, self._parts.dialect, call, denial)
+            await send_error(side, self._context.dialect, call, denial)
         except CallerGoneError:
             self._runtime.log.debug('caller gone', extra={'step': 'admit'})
 
-    def _on_done(self, job: asyncio.Task[None]) -> None:
-        self._jobs.discard(job)
-        if not job.cancelled() and job.exception() is not None:
-            self._runtime.fault('request', job.exception())
+    def _on_done(self, request_task: asyncio.Task[None]) -> None:
+        self._request_tasks.discard(request_task)
+        if (
+            not request_task.cancelled()
+            and request_task.exception() is not None
+        ):
+            self._runtime.fault('request', request_task.exception())
 
     def status(self) -> dict[str, Any]:
-        """Tell what is under way."""
+        """Return the running requests and whether new ones are refused."""
         return {'running': self.running, 'refuses': self.refuses}
 
 
-def _denial(status: HTTPStatus, reason: str) -> OwnAnswer:
-    return OwnAnswer(status=status, code='denied', reason=reason)
+def _denial(status: HTTPStatus, reason: str) -> ErrorAnswer:
+    return ErrorAnswer(status=status, code='denied', reason=reason)
 
 
-def _come_back(reason: str) -> OwnAnswer:
-    return OwnAnswer(
+def _retry_later(reason: str) -> ErrorAnswer:
+    return ErrorAnswer(
         status=HTTPStatus.SERVICE_UNAVAILABLE,
         code='denied',
         reason=reason,
-        retry_after_s=RETRY_S,
+        retry_after_s=RETRY_AFTER_S,
     )
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
@@ -1,4 +1,4 @@
-"""Put the entry of a fleet together from its tasks."""
+"""The fleet entry: its tasks and their order of start and stop."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from crowrudder_daemon._ticks import sleep_to_tick
 from crowrudder_daemon.fleet import FleetRole
 from crowrudder_daemon.fleet_entry._caller_side import CallersServer
+from crowrudder_daemon.fleet_entry._context import EntryContext
 from crowrudder_daemon.fleet_entry._directory import Directory
 from crowrudder_daemon.fleet_entry._load_relay import LoadRelay
-from crowrudder_daemon.fleet_entry._parts import EntryParts
 from crowrudder_daemon.fleet_entry._quarantine import RequestQuarantine
 from crowrudder_daemon.fleet_entry._requests_task import RequestsTask
 from crowrudder_daemon.fleet_entry._upstreams import Upstreams
@@ -30,19 +30,20 @@
         SuspectNews,
     )
 
-MOST_HEADER_BYTES = 65_536
-MOST_BODY_BYTES = 16 * 1024 * 1024
-"""What is read at the most before the configured limits are applied."""
+MAX_HEADER_BYTES = 65_536
+MAX_BODY_BYTES = 16 * 1024 * 1024
+"""Upper bound of a body before the configured limits apply."""
 
 BODY_TIMEOUT_S = 30.0
-OPEN_AFTER_S = 1.5
-"""How long a leaving entry still takes connections: callers keep an answer on
-which entry to use for a while, and a closed port costs them a try."""
+DRAIN_LISTEN_S = 1.5
+"""How long a leaving entry still accepts connections. Callers cache the list of
+entries for a while, and a closed port costs them a try."""
 
-LATE_S = 0.3
-"""How long a leaving entry still refuses, in words, what crosses its close."""
+LATE_REQUESTS_S = 0.3
+"""How long a leaving entry still answers requests that arrive as it closes its
+port, with a refusal."""
 
-CONTACT_EVERY_S = 1.0
+CONTACT_INTERVAL_S = 1.0
 
 
 def build_fleet_entry(
@@ -52,12 +53,12 @@
     source: PublishedSource,
     dialect: CallersDialect,
 ) -> FleetEntry:
-    """Make the entry of a node; nothing starts yet."""
+    """Return the entry of a node, not started yet."""
     return FleetEntry(runtime, node, tuning, source, dialect)
 
 
 class FleetEntry(FleetRole):
-    """The entry's tasks and their order of start and stop."""
+    """Role of an entry: owns its tasks, starts and stops them in order."""
 
     def __init__(
         self,
@@ -74,13 +75,15 @@
             runtime, node, self.catalog.view, self.peers, self.quarantine
         )
         self._relay = LoadRelay(node, self.peers)
-        parts = EntryParts(dialect, self.upstreams, self.quarantine, runtime)
-        self.requests = RequestsTask(runtime, self.catalog, parts)
+        context = EntryContext(
+            dialect, self.upstreams, self.quarantine, runtime
+        )
+        self.requests = RequestsTask(runtime, self.catalog, context)
         self._http = HTTPServer(
             CallersServer(self.requests.on_request),
-            max_header_size=MOST_HEADER_BYTES,
-            max_body_size=MOST_BODY_BYTES,
-            max_buffer_size=MOST_BODY_BYTES + MOST_HEADER_BYTES,
+            max_header_size=MAX_HEADER_BYTES,
+            max_body_size=MAX_BODY_BYTES,
+            max_buffer_size=MAX_BODY_BYTES + MAX_HEADER_BYTES,
             body_timeout=BODY_TIMEOUT_S,
         )
         self._port = CallersPort(self._http)
@@ -92,58 +95,58 @@
             ttl_s=min(tuning.answer_ttl_s, node.bounds.answer_ttl_s),
         )
         addresses = {node.ready, node.directory}
-        self._pages = {
+        self._directory_servers = {
             address: HTTPServer(directory.application())
             for address in sorted(addresses)
         }
 
     async def start(self) -> None:
-        """Listen and begin to learn."""
+        """Start the tasks and listen."""
         await self.begin()
-        self.runtime.spawn(self._look_for_peers(), step='look for peers')
-        self.runtime.spawn(self._relay.tell_for_ever(), step='relay loads')
+        self.runtime.spawn(self._discover_peers(), step='look for peers')
+        self.runtime.spawn(self._relay.send_forever(), step='relay loads')
         self.runtime.spawn(
-            self.quarantine.remind_for_ever(), step='remind of suspects'
+            self.quarantine.send_reminders(), step='remind of suspects'
         )
-        for address, page in self._pages.items():
+        for address, server in self._directory_servers.items():
             ip, _, port = address.rpartition(':')
-            page.listen(int(port), ip)
+            server.listen(int(port), ip)
         ip, _, port = self.node.callers.rpartition(':')
         self._port.listen(int(port), ip)
 
     async def drain(self) -> None:
-        """Send callers elsewhere, finish what runs, refuse what comes late."""
+        """Redirect callers, finish running requests, refuse late arrivals."""
         self._leaving = True
         self.peers.set_state(ready=False, leaving=True)
-        # From now on each answer ends its connection.
+        # From now on the connection is closed after each answer.
         self._http.conn_params.no_keep_alive = True
-        await asyncio.sleep(OPEN_AFTER_S)
+        await asyncio.sleep(DRAIN_LISTEN_S)
         self._port.close()
         self.requests.refuses = True
         await self.requests.idle()
-        await asyncio.sleep(LATE_S)
+        await asyncio.sleep(LATE_REQUESTS_S)
         await self.requests.idle()
 
     async def stop(self) -> None:
-        """Close everything."""
-        for page in self._pages.values():
-            page.stop()
+        """Stop the servers and tasks and close the upstream connections."""
+        for server in self._directory_servers.values():
+            server.stop()
         await super().stop()
         self.upstreams.pool.close()
 
     def status(self) -> dict[str, Any]:
-        """Tell what is in force here and what runs."""
+        """Return the status of the configuration, requests and upstreams."""
         return {
             **self.catalog.status(),
             **self.requests.status(),
             'leaving': self._leaving,
             'hinders': self.readiness(),
-            'entries': [word.ip for word in self.peers.entries()],
+            'entries': [entry.ip for entry in self.peers.entries()],
             'known_upstreams': self.upstreams.status(),
         }
 
     def readiness(self) -> list[str]:
-        """Give what keeps this entry from serving; empty when ready."""
+        """Return the reasons why this entry is not ready; empty if it is."""
         reasons = []
         if self.catalog.view.config is None:
             reasons.append('no configuration was read yet')
@@ -152,7 +155,7 @@
         return reasons
 
     def explain(self, customer: str, model: str) -> dict[str, Any]:
-        """Tell what is known of the upstreams of a model."""
+        """Return the state of the upstreams for a customer and a model."""
         return {
             'customer': customer,
             'model': model,
@@ -160,37 +163,37 @@
         }
 
     def load_heard(self, load: EngineLoad) -> None:
-        """Pass an agent's word on its engine on."""
+        """Apply an agent's load report and relay it to other regions."""
         self.upstreams.on_load(load)
         self._relay.on_load(load)
 
     def loads_heard(self, batch: LoadBatch) -> None:
-        """Take what agents of another region say, and pass it on."""
+        """Apply load reports of another region and forward them in this one."""
         self.upstreams.on_loads(batch)
         if batch.pass_on:
-            self._relay.pass_on(batch)
+            self._relay.forward(batch)
 
     def suspects_heard(self, ip: str, news: SuspectNews) -> None:
-        """Take an entry's word on requests under which upstreams ended."""
+        """Apply an entry's updates on requests under which upstreams ended."""
         self.quarantine.on_news(ip, news)
 
     def limits_heard(self, ip: str, news: LimitNews) -> None:
-        """Take an entry's word on limits that upstreams named."""
+        """Apply an entry's updates on limits that upstreams named."""
         self.upstreams.limits.on_news(ip, news)
 
     def on_change(self) -> None:
-        """Follow the published records."""
+        """Apply a change of the published records."""
         self.upstreams.renew()
         config = self.catalog.view.config
         if config is not None:
-            # Tornado knows one time for an idle connection and for headers.
+            # Tornado has a single timeout for idle connections and for headers.
             params = self._http.conn_params
             params.header_timeout = config.limits.idle_timeout_s
         self.peers.set_state(ready=not self.readiness(), leaving=self._leaving)
 
-    async def _look_for_peers(self) -> None:
-        """Ask agents for entries while no other entry is known."""
+    async def _discover_peers(self) -> None:
+        """Ask agents for other entries while none is known."""
         while True:
-            await sleep_to_tick(CONTACT_EVERY_S)
+            await sleep_to_tick(CONTACT_INTERVAL_S)
             ips = {each.host_ip for each in self.catalog.view.listed()}
             self.peers.add_contacts(ips)
--- /dev/null
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_timeouts.py
@@ -0,0 +1,83 @@
+"""Timeouts after which an attempt is abandoned and another one started."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+from attrs import frozen
+
+from crowrudder_model.fleet import RouteKind
+
+if TYPE_CHECKING:
+    from crowrudder_model.fleet import Route
+
+FIRST_SILENCE_S = 0.9
+"""Least timeout for the first event. It is ten times a usual first event, so
+that load alone doesn't exceed it."""
+
+PAUSE_SILENCE_S = 0.9
+"""Least timeout for a pause within a stream: over twice the pause that callers
+complain about, and under half of the pause after which they leave."""
+
+WHOLE_SILENCE_S = 0.45
+"""Least timeout for a short answer of a repeatable request."""
+
+TIMEOUT_FORECASTS = 4
+"""Timeout of an attempt, in multiples of its forecast."""
+
+NO_TIMEOUT_S = 3600.0
+
+
+@frozen(kw_only=True)
+class AttemptTimeouts:
+    """Timeouts of one attempt, in seconds.
+
+    ``first_s`` applies until the answer begins, ``pause_s`` between its parts.
+    ``begin_by`` is the time on the own clock by which the answer must begin,
+    as known at the send; a version that is announced later may move it up.
+    ``late_pause_s`` is the pause in a stream that counts against the upstream.
+    """
+
+    first_s: float
+    pause_s: float
+    begin_by: float = math.inf
+    late_pause_s: float = math.inf
+
+
+def timeouts_for(
+    route: Route, *, first_s: float, begin_by: float, is_retryable: bool
+) -> AttemptTimeouts:
+    """Return the timeouts of an attempt.
+
+    Silence ends an attempt only if another one can follow.
+
+    Parameters
+    ----------
+    first_s
+        Forecast of the time to the first event, in seconds.
+    begin_by
+        Time by which the answer must begin, on the own clock.
+    """
+    late_pause_s = route.pause_goal_s or math.inf
+    if not is_retryable:
+        # `begin_by` still applies: a queue can last longer than any margin,
+        # and the request would begin after the end of its version.
+        return AttemptTimeouts(
+            first_s=NO_TIMEOUT_S,
+            pause_s=NO_TIMEOUT_S,
+            begin_by=begin_by,
+            late_pause_s=late_pause_s,
+        )
+    forecast_s = TIMEOUT_FORECASTS * first_s
+    if route.kind is RouteKind.STREAM:
+        return AttemptTimeouts(
+            first_s=max(FIRST_SILENCE_S, forecast_s),
+            pause_s=max(PAUSE_SILENCE_S, 2 * route.pause_goal_s),
+            begin_by=begin_by,
+            late_pause_s=late_pause_s,
+        )
+    timeout_s = max(WHOLE_SILENCE_S, forecast_s)
+    return AttemptTimeouts(
+        first_s=timeout_s, pause_s=timeout_s, begin_by=begin_by
+    )
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crowrudder_daemon.fleet_entry import _attempt, _patience
+from crowrudder_daemon.fleet_entry import _attempt, _timeouts
 
 LONG_S = 30.0
 
@@ -23,5 +23,5 @@
     if request.node.get_closest_marker('usual_patience'):
         return
     for name in ('FIRST_SILENCE_S', 'PAUSE_SILENCE_S', 'WHOLE_SILENCE_S'):
-        monkeypatch.setattr(_patience, name, LONG_S)
+        monkeypatch.setattr(_timeouts, name, LONG_S)
     monkeypatch.setattr(_attempt, 'CONNECT_S', LONG_S)
--- a/tests/fleet/test_attempt_line.py
+++ b/tests/fleet/test_attempt_line.py
@@ -1,4 +1,4 @@
-"""What the line of a request tells of an attempt that was taken away."""
+"""The log fields of an attempt, with those of a cancelled one."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from crowrudder_daemon.fleet.ports import AnswerMark
 from crowrudder_daemon.fleet_entry import _attempt
 from crowrudder_daemon.fleet_entry._attempt import Attempt
-from crowrudder_daemon.fleet_entry._attempt_line import line_of
-from crowrudder_daemon.fleet_entry._patience import Patience
+from crowrudder_daemon.fleet_entry._attempt_log import log_fields
+from crowrudder_daemon.fleet_entry._timeouts import AttemptTimeouts
 from crowrudder_daemon.http import WireHead
 from support.aio import run
 from support.fleet_checks import (
@@ -39,7 +39,7 @@
 
 
 class Outlook:
-    """An outlook that takes every word on its upstream."""
+    """An outlook that accepts every update on its upstream."""
 
     upstream = SimpleNamespace(id='e0', address='a')
 
@@ -55,7 +55,7 @@
 
 @define
 class Connection:
-    """A connection whose answers take as long as they are told to."""
+    """A connection whose answers take a given time."""
 
     clock: Clock
     head_s: float = math.inf
@@ -65,11 +65,11 @@
     was_ended_by_peer: bool = False
 
     def send(self, request):
-        """Take a request."""
+        """Accept a request."""
 
     def close(self):
         self.is_closed = True
-        # What waits can't be told any more.
+        # The unsent bytes are unknown after the close.
         self.unsent_bytes = -1
 
     async def head(self):
@@ -91,7 +91,7 @@
         return self.conn
 
 
-def attempt_on(conn, patience):
+def create_attempt(conn, timeouts):
     outlook = Outlook()
     dialect = SimpleNamespace(
         request_for=lambda *_: None,
@@ -115,8 +115,8 @@
         'upstreams': SimpleNamespace(
             pool=Pool(conn),
             begin_by=lambda *_: math.inf,
-            begin_wait=lambda _: 1,
-            end_wait=lambda _: None,
+            add_pending=lambda _: 1,
+            remove_pending=lambda _: None,
             limits=SimpleNamespace(
                 take=lambda _: True, on_answer=lambda *_: None
             ),
@@ -126,7 +126,7 @@
         body=b'',
         customer='shop',
         urgency=None,
-        patience=patience,
+        timeouts=timeouts,
         dispatch=Dispatch(
             repeatable=True, most_sends=2, limit_at=conn.clock.now + 9
         ),
@@ -143,59 +143,65 @@
     return made
 
 
-def line_after(conn, *, begin_by):
-    patience = Patience(first_s=9, pause_s=9, begin_by=begin_by)
-    attempt = attempt_on(conn, patience)
+def log_fields_after(conn, *, begin_by):
+    timeouts = AttemptTimeouts(first_s=9, pause_s=9, begin_by=begin_by)
+    attempt = create_attempt(conn, timeouts)
     ending = run(attempt.run())
     assert conn.is_closed
-    return line_of(attempt, ending)
+    return log_fields(attempt, ending)
 
 
-class TestTakenAway:
-    """Nothing told why a request began after the end of its version.
+class TestCancelledAttempt:
+    """Guards against a log that doesn't show why a request began too late.
 
-    Symptom: a request begins on a version after its end, the caller's 502
-    comes 0.7 s after the entry should have closed the connection. Causes that
-    the log didn't tell apart: another end was believed, the entry was late,
-    its bytes were.
+    A request begins on a version after its end, and the caller's 502 comes
+    0.7 s after the entry should have closed the connection. The log has to
+    distinguish three causes: the entry assumed another end, it cancelled late,
+    or its bytes were delayed.
     """
 
-    def test_one_that_is_taken_away_in_time(self, clock):
+    def test_logs_a_cancellation_in_time(self, clock):
         conn = Connection(clock, silent_s=0.65, unsent_bytes=70)
-        line = line_after(conn, begin_by=1000.65)
+        line = log_fields_after(conn, begin_by=1000.65)
         assert line['why'] == 'not begun as its version ends'
         assert (line['weights'], line['begin_left_s']) == (2, 0.65)
         assert (line['late_s'], line['unsent_bytes']) == (0, 70)
         assert line['head_s'] == -1
 
-    def test_one_that_is_taken_away_late(self, clock):
+    def test_logs_a_late_cancellation(self, clock):
         conn = Connection(clock, silent_s=1.35)
-        line = line_after(conn, begin_by=1000.65)
+        line = log_fields_after(conn, begin_by=1000.65)
         assert (line['begin_left_s'], line['late_s']) == (0.65, 0.7)
 
-    def test_one_whose_answer_has_a_head_but_no_event(self, clock):
+    def test_logs_the_time_to_the_head_of_an_answer_without_events(self, clock):
         conn = Connection(clock, head_s=0.5, silent_s=0.15)
-        line = line_after(conn, begin_by=1000.65)
+        line = log_fields_after(conn, begin_by=1000.65)
         assert line['why'] == 'not begun as its version ends'
         assert (line['head_s'], line['late_s']) == (0.5, 0)
 
 
-class TestOthers:
-    def test_one_that_nothing_bounds(self, clock):
-        line = line_after(Connection(clock, silent_s=5), begin_by=math.inf)
+class TestUncancelledAttempt:
+    def test_an_attempt_without_deadline_has_no_cancellation_fields(
+        self, clock
+    ):
+        line = log_fields_after(
+            Connection(clock, silent_s=5), begin_by=math.inf
+        )
         assert line['begin_left_s'] is None
         assert line['why'] == 'silent for too long'
         assert not {'late_s', 'head_s', 'unsent_bytes'} & line.keys()
 
-    def test_one_that_fails_before_it_has_to_begin(self, clock):
-        line = line_after(Connection(clock, silent_s=0.1), begin_by=1000.65)
+    def test_a_failure_before_the_deadline_is_no_cancellation(self, clock):
+        line = log_fields_after(
+            Connection(clock, silent_s=0.1), begin_by=1000.65
+        )
         assert line['begin_left_s'] == 0.65
         assert 'late_s' not in line
 
 
-class TestLine:
-    def test_of_a_fleet_it_can_be_written(self, caplog, monkeypatch):
-        # The agent's word is told once here.
+class TestLogLine:
+    def test_the_fields_can_be_encoded_as_json(self, caplog, monkeypatch):
+        # The agent's load report is sent only once here.
         monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
 
         async def check(world):
--- a/tests/fleet/test_directory.py
+++ b/tests/fleet/test_directory.py
@@ -4,11 +4,11 @@
 
 from crowrudder_platform import PlatformCallers
 
-from crowrudder_daemon.fleet_entry._directory import MOST_ADDRESSES, Directory
+from crowrudder_daemon.fleet_entry._directory import MAX_ADDRESSES, Directory
 from crowrudder_model.messages import MemberWord
 
 
-def word(number, **more):
+def member(number, **more):
     return MemberWord(
         ip=f'10.0.0.{number}',
         role='entry',
@@ -19,10 +19,10 @@
     )
 
 
-def directory(*words):
+def directory_of(*members):
     return Directory(
         dialect=PlatformCallers(),
-        entries=lambda: list(words),
+        entries=lambda: list(members),
         own='10.0.0.1:80',
         is_ready=lambda: True,
         ttl_s=2,
@@ -30,29 +30,29 @@
 
 
 class TestAddresses:
-    def test_only_entries_that_are_ready_are_given(self):
-        shown = directory(
-            word(1, ready=True),
-            word(2),
-            word(3, ready=False, leaving=True),
+    def test_returns_only_ready_entries(self):
+        directory = directory_of(
+            member(1, ready=True),
+            member(2),
+            member(3, ready=False, leaving=True),
         )
-        assert shown.addresses() == ['10.0.0.1:80']
+        assert directory.addresses() == ['10.0.0.1:80']
 
-    def test_while_none_is_ready_those_that_stay_are(self):
-        """Callers gave up on a fleet that was starting.
+    def test_returns_entries_that_are_not_leaving_if_none_is_ready(self):
+        """Guards against callers that give up while a fleet starts.
 
-        Symptom: requests fail for seconds after all processes began. Sequence:
-        callers look for an entry before any has read the configuration. Cause:
-        an answer without addresses counts as a failure.
+        Callers look up an entry before any has read the configuration. An
+        answer without addresses counts as a failure, so that requests would
+        fail for seconds after all processes started.
         """
-        shown = directory(word(1), word(2, leaving=True))
-        assert shown.addresses() == ['10.0.0.1:80']
-        assert directory().addresses() == ['10.0.0.1:80']
+        directory = directory_of(member(1), member(2, leaving=True))
+        assert directory.addresses() == ['10.0.0.1:80']
+        assert directory_of().addresses() == ['10.0.0.1:80']
 
-    def test_no_more_than_callers_take(self):
-        words = [word(number, ready=True) for number in range(1, 100)]
-        assert len(directory(*words).addresses()) == MOST_ADDRESSES
+    def test_limits_the_number_of_addresses(self):
+        members = [member(number, ready=True) for number in range(1, 100)]
+        assert len(directory_of(*members).addresses()) == MAX_ADDRESSES
 
-    def test_the_answer_is_the_platforms(self):
-        answer = json.loads(directory(word(1, ready=True)).answer({}))
+    def test_encodes_the_answer_for_the_platform(self):
+        answer = json.loads(directory_of(member(1, ready=True)).answer({}))
         assert answer == {'addresses': ['10.0.0.1:80'], 'ttl_s': 2}
--- a/tests/fleet/test_entry.py
+++ b/tests/fleet/test_entry.py
@@ -1,4 +1,4 @@
-"""Requests through a real entry to replicas that misbehave."""
+"""Requests through a real entry to faulty replicas."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TestWholeAnswers:
-    def test_a_plain_answer_is_passed_on_as_it_is(self):
+    def test_a_plain_answer_is_forwarded_unchanged(self):
         async def check(world):
             answer = await world.ask('/read/x?y=1', request_id='a')
             (began,) = all_runs(world, 'a')
@@ -24,7 +24,7 @@
 
         checked(check)
 
-    def test_a_stream_is_passed_on_with_its_seal(self):
+    def test_a_stream_is_forwarded_with_its_seal(self):
         async def check(world):
             answer = await world.ask('/draft/x', method='POST', request_id='a')
             (began,) = all_runs(world, 'a')
@@ -35,7 +35,7 @@
 
         checked(check)
 
-    def test_the_key_stays_here_and_the_customer_is_told(self):
+    def test_replaces_the_key_by_the_customer_name(self):
         async def check(world):
             await world.ask('/read/x', request_id='a', X_Tenant='somebody')
             (began,) = all_runs(world, 'a')
@@ -46,11 +46,11 @@
 
 class TestBrokenStreams:
     @pytest.mark.parametrize('how', ['cut', 'half_event'])
-    def test_a_second_break_is_seen_as_one(self, how):
-        """A stream that ended early looked complete.
+    def test_a_second_break_truncates_the_answer(self, how):
+        """Guards against a truncated stream that looks complete.
 
-        Symptom: a listing without its end. Sequence: both upstreams that the
-        route allows break off. Cause: the answer was ended in good order.
+        Both upstreams that the route allows break off. If the entry then ended
+        the answer normally, the caller would get a listing without its end.
         """
 
         async def check(world):
@@ -65,21 +65,21 @@
         checked(check)
 
     @pytest.mark.parametrize('how', ['cut', 'half_event'])
-    def test_one_break_is_not_seen_by_the_caller(self, how):
+    def test_one_break_is_hidden_from_the_caller(self, how):
         async def check(world):
             for number in range(6):
-                spoil_one = world.replicas[f'e{number % 2}']
-                spoil_one.faults.switch_on(fault(how))
+                faulty = world.replicas[f'e{number % 2}']
+                faulty.faults.switch_on(fault(how))
                 request_id = f'a{number}'
                 answer = await world.ask(
                     '/draft/x', method='POST', request_id=request_id
                 )
-                spoil_one.faults.switch_off('')
+                faulty.faults.switch_off('')
                 assert answer.body == stream_of(request_id)
 
         checked(check)
 
-    def test_one_that_may_not_be_resumed_is_cut_and_runs_once(self):
+    def test_a_stream_that_may_not_resume_is_truncated_and_runs_once(self):
         async def check(world):
             spoil_all(world, 'e', 'cut')
             answer = await world.ask('/once/x', method='POST', request_id='a')
@@ -89,13 +89,13 @@
         checked(check)
 
     @pytest.mark.usual_patience
-    def test_a_silent_upstream_is_waited_for_when_no_retry_is_left(self):
-        """Answers that were on their way were given up.
+    def test_waits_for_a_silent_upstream_without_retry_budget(self):
+        """Guards against abandoning the last attempt that is possible.
 
-        Symptom: 502 after 0.9 s though the upstream answers in 1.2 s.
-        Sequence: many attempts fail, the retry budget is spent, an upstream is
-        slow. Cause: silence ended the attempt before anyone looked whether
-        another one could follow.
+        Many attempts fail, the retry budget is spent, and an upstream is slow.
+        If silence ended the attempt without a check that another one can
+        follow, the caller would get 502 after 0.9 s although the upstream
+        answers in 1.2 s.
         """
 
         async def check(world):
@@ -107,7 +107,7 @@
         checked(check, entries=1, bounds={'retry_share': 0, 'retry_extra': 0})
 
     @pytest.mark.usual_patience
-    def test_a_silent_upstream_is_left_for_another(self):
+    def test_retries_a_silent_upstream_elsewhere(self):
         async def check(world):
             world.replicas['e0'].faults.switch_on(fault('hang', None))
             answers = [
@@ -121,12 +121,11 @@
 
 class TestOnce:
     @pytest.mark.parametrize('how', ['lost', 'cut', 'unvouched'])
-    def test_runs_once_though_its_answer_is_lost(self, how):
-        """A notice went out twice.
+    def test_runs_once_if_its_answer_is_lost(self, how):
+        """Guards against a notice that is sent twice.
 
-        Symptom: a household gets two calls. Sequence: the upstream runs the
-        request and its answer is lost on the way. Cause: the entry tried it
-        at another upstream.
+        The upstream runs the request and its answer is lost. If the entry
+        retried it at another upstream, a household would get two calls.
         """
 
         async def check(world):
@@ -137,7 +136,7 @@
 
         checked(check)
 
-    def test_a_full_upstream_is_left_for_another(self):
+    def test_retries_a_full_upstream_elsewhere(self):
         async def check(world):
             world.replicas['p0'].faults.switch_on(fault('full', None))
             for number in range(4):
@@ -148,7 +147,7 @@
 
         checked(check)
 
-    def test_refused_everywhere_it_is_told_when_to_come_back(self):
+    def test_a_refusal_by_all_upstreams_has_a_retry_after(self):
         async def check(world):
             spoil_all(world, 'p', 'full', None)
             answer = await world.ask('/notice/x', method='POST', request_id='a')
@@ -158,7 +157,7 @@
 
         checked(check)
 
-    def test_a_servers_own_error_is_passed_on(self):
+    def test_forwards_an_error_of_the_upstream(self):
         async def check(world):
             spoil_all(world, 'p', 'fail')
             answer = await world.ask('/notice/x', method='POST', request_id='a')
@@ -179,7 +178,7 @@
             'unvouched',
         ],
     )
-    def test_is_tried_elsewhere(self, how):
+    def test_is_retried_elsewhere(self, how):
         async def check(world):
             world.replicas['p0'].faults.switch_on(fault(how, None))
             for number in range(4):
@@ -188,7 +187,7 @@
 
         checked(check)
 
-    def test_no_more_upstreams_see_it_than_its_route_allows(self):
+    def test_is_sent_no_more_often_than_its_route_allows(self):
         async def check(world):
             spoil_all(world, 'p', 'lost', None)
             answer = await world.ask('/read/x', request_id='a')
@@ -199,7 +198,7 @@
 
 
 class TestCrossedAnswers:
-    def test_an_answer_to_someone_else_is_read_over(self):
+    def test_discards_an_answer_to_another_request(self):
         async def check(world):
             spoil_all(world, 'p', 'crossed')
             answer = await world.ask('/notice/x', method='POST', request_id='a')
@@ -208,7 +207,7 @@
 
         checked(check)
 
-    def test_a_second_answer_reaches_nobody(self):
+    def test_discards_a_duplicate_answer(self):
         async def check(world):
             spoil_all(world, 'p', 'extra', None)
             for number in range(8):
@@ -221,7 +220,7 @@
 
 
 class TestTimes:
-    def test_a_silent_once_only_request_ends_at_its_routes_time(self):
+    def test_a_silent_once_only_request_ends_at_its_routes_timeout(self):
         async def check(world):
             spoil_all(world, 'p', 'hang', None)
             loop = asyncio.get_running_loop()
@@ -235,7 +234,7 @@
         ]
         checked(check, routes=short)
 
-    def test_it_ends_before_its_caller_leaves(self):
+    def test_ends_before_the_deadline_of_its_caller(self):
         async def check(world):
             spoil_all(world, 'p', 'hang', None)
             answer = await world.ask(
@@ -248,7 +247,7 @@
 
         checked(check)
 
-    def test_an_upstream_notices_that_the_caller_left(self):
+    def test_cancels_at_the_upstream_when_the_caller_leaves(self):
         async def check(world):
             spoil_all(world, 'e', 'slow', None, amount=3.0)
             asking = asyncio.ensure_future(
@@ -279,12 +278,12 @@
 
         checked(check)
 
-    def test_old_knowledge_turns_nobody_away_for_good(self):
-        """A new customer got 401 from an entry that was cut off.
+    def test_an_outdated_configuration_gives_no_final_denial(self):
+        """Guards against a 401 for a new customer from an outdated entry.
 
-        Symptom: a proper request is refused for good. Sequence: an entry
-        loses the platform, a key is added, its holder asks that entry. Cause:
-        it judged by keys that it had known before.
+        An entry loses the platform, a key is added, and its holder sends a
+        request to that entry. If the entry decided by the keys that it knew
+        before, a valid request would be denied for good.
         """
 
         async def check(world):
@@ -308,8 +307,8 @@
 
 
 class TestRecords:
-    def test_what_the_entry_itself_takes_is_told_apart(self, caplog):
-        """Whether an entry or an upstream is slow is seen from one line."""
+    def test_logs_the_time_to_the_first_send_separately(self, caplog):
+        """One log line shows whether the entry or an upstream is slow."""
 
         async def check(world):
             spoil_all(world, 'e', 'slow', amount=0.3)
@@ -326,15 +325,15 @@
 
 
 class TestComingBack:
-    """When a refused caller is told to come back."""
+    """The ``Retry-After`` of refusals."""
 
-    def test_after_an_outage_not_into_it(self):
-        """Requests were refused twice and lost.
+    def test_retry_after_outlasts_an_outage(self):
+        """Guards against requests that are refused twice and lost.
 
-        Symptom: most requests of an outage of two seconds are lost, though
-        their callers wait for six. Sequence: no engine has weights, a caller
-        is told to come back after 0.1 s, is refused again, and has used up
-        its tries. Cause: the time to come back was a constant for an overload.
+        No engine has weights for two seconds. If the delay before a retry were
+        a constant for an overload, 0.1 s, a caller would be refused again and
+        use up its tries. Most requests of the outage would be lost, although
+        their callers wait for six seconds.
         """
 
         async def check(world):
@@ -348,7 +347,7 @@
 
         checked(check)
 
-    def test_after_an_engine_without_weights_refused(self):
+    def test_retry_after_a_refusal_by_engines_of_another_version(self):
         async def check(world):
             for name in ('e0', 'e1'):
                 world.replicas[name].weights = 9
--- a/tests/fleet/test_entry_changes.py
+++ b/tests/fleet/test_entry_changes.py
@@ -1,4 +1,4 @@
-"""What changes around a running entry: configuration, upstreams, versions, peers."""
+"""Changes around a running entry: configuration, upstreams, versions, peers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class TestReusedAddress:
-    def test_another_service_at_the_address_runs_nothing(self):
+    def test_another_upstream_at_the_address_runs_nothing(self):
         async def check(world):
             replica = world.replicas['p0']
             replica.id = 'somebody-else'
@@ -32,7 +32,7 @@
 
 
 class TestConfigurationChanges:
-    def test_a_route_that_moves_is_in_force_at_once(self):
+    def test_a_changed_route_applies_at_once(self):
         async def check(world):
             moved = [route('new', '/new/', 'safe', 'plain')]
             world.publish(version=5, routes=(*ROUTES, *moved))
@@ -44,7 +44,7 @@
 
         checked(check)
 
-    def test_a_key_that_is_taken_away_is_refused(self):
+    def test_a_removed_key_is_refused(self):
         async def check(world):
             world.publish(
                 version=5, tenants=[{'name': 'shop', 'api_keys': ['other']}]
@@ -54,7 +54,7 @@
 
         checked(check)
 
-    def test_a_record_that_cant_be_read_leaves_the_last_in_force(self):
+    def test_an_unreadable_record_keeps_the_last_configuration(self):
         async def check(world):
             world.store.put('op/config', b'{"version": 7, "routes": 3}')
             world.store.put('servers/bad', b'not json')
@@ -63,7 +63,7 @@
 
         checked(check)
 
-    def test_changes_come_though_the_history_was_forgotten(self):
+    def test_changes_arrive_after_the_history_was_compacted(self):
         async def check(world):
             world.store.faults.switch_on(fault('busy', None))
             world.publish(version=5, routes=[])
@@ -76,7 +76,7 @@
 
 
 class TestForgedRecords:
-    def test_an_overwritten_record_names_no_upstream(self):
+    def test_an_overwritten_record_removes_its_upstream(self):
         async def check(world):
             world.store.put('servers/p0', b'\x00\xff')
             await world.ready()
@@ -92,12 +92,12 @@
 
         checked(check)
 
-    def test_one_forged_record_takes_no_other_with_it(self):
-        """A process that started beside a forged record knew nothing.
+    def test_a_forged_record_does_not_hide_other_records(self):
+        """Guards against a start without records because one is malformed.
 
-        Symptom: an entry answers 503 to everything. Sequence: another writer
-        puts a value that isn't base 64, an entry starts and lists the store.
-        Cause: the values of a page were decoded in one piece.
+        Another writer stores a value that isn't base 64, then an entry starts
+        and lists the store. If the values of a page were decoded together, the
+        entry would know no record and answer 503 to every request.
         """
 
         async def check(world):
@@ -110,13 +110,13 @@
 
 
 class TestSecondLife:
-    def test_a_restart_under_the_same_name_is_known_by_its_word(self):
-        """Requests went to an engine that had lost its weights.
+    def test_a_load_report_reveals_a_restart_under_the_same_name(self):
+        """Guards against requests to an engine that has lost its weights.
 
-        Symptom: an engine turns requests away for want of the version that
-        they expect. Sequence: it starts again under its name, holding
-        nothing; its agent's word on that comes, and after it a late one on
-        the earlier life. Cause: the lives weren't told apart.
+        An engine restarts under its name without weights. Its agent's load
+        report on that arrives, then a late one of the previous incarnation. If
+        the entry didn't distinguish the incarnations, it would send requests
+        that the engine refuses because it lacks the expected version.
         """
 
         async def check(world):
@@ -125,13 +125,13 @@
             await world.ready()
             address = world.addresses['e0']
             upstreams = world.entries[0].upstreams
-            word = EngineLoad(
+            load = EngineLoad(
                 address=address, reachable=True, weights=1, started_ms=1000
             )
-            upstreams.on_load(word)
+            upstreams.on_load(load)
             world.replicas['e0'].weights = 0
-            upstreams.on_load(replace(word, weights=0, started_ms=2000))
-            upstreams.on_load(word)
+            upstreams.on_load(replace(load, weights=0, started_ms=2000))
+            upstreams.on_load(load)
             for number in range(4):
                 answer = await world.ask(
                     '/draft/x', method='POST', request_id=f'a{number}'
@@ -144,7 +144,7 @@
 
 
 class TestLeavingUpstreams:
-    def test_one_that_leaves_gets_no_request(self):
+    def test_a_draining_upstream_gets_no_request(self):
         async def check(world):
             world.list_replica('p0', 'plain', state='draining')
             await world.ready()
@@ -156,7 +156,7 @@
 
 
 class TestLeavingEntry:
-    def test_finishes_what_runs_and_sends_callers_elsewhere(self):
+    def test_finishes_running_requests_and_reports_that_it_leaves(self):
         async def check(world):
             first, second = world.entries
             await world.until(lambda: len(second.peers.entries()) == 2)
@@ -174,9 +174,9 @@
             await world.until(
                 lambda: (
                     [
-                        word.leaving
-                        for word in second.peers.entries()
-                        if word.ip == world.nodes[0].ip
+                        member.leaving
+                        for member in second.peers.entries()
+                        if member.ip == world.nodes[0].ip
                     ]
                     in ([True], [])
                 ),
@@ -186,7 +186,7 @@
 
 
 class TestPeers:
-    def test_an_entry_that_cant_read_the_platform_learns_from_another(self):
+    def test_an_entry_without_platform_learns_changes_from_a_peer(self):
         async def check(world):
             first, second = world.entries
             await world.until(lambda: len(first.peers.entries()) == 2)
@@ -197,7 +197,7 @@
 
         checked(check, entries=2)
 
-    def test_host_names_are_those_of_the_configuration(self):
+    def test_matches_the_host_name_without_its_port(self):
         async def check(world):
             answer = await world.ask('/read/x', Host=f'{HOST}:80')
             assert answer.status == 200
--- a/tests/fleet/test_entry_versions.py
+++ b/tests/fleet/test_entry_versions.py
@@ -1,4 +1,4 @@
-"""Versions that change around a running entry: ends, paths, ages."""
+"""Version changes around a running entry: ends, pipelines, ages."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 class TestPaths:
-    def test_parts_of_several_engines_serve_together(self):
-        """Nobody answered though all layers were there.
+    def test_engines_with_partial_versions_serve_as_a_pipeline(self):
+        """Guards against refusals although all layers are available.
 
-        Symptom: all requests are refused while hosts collect a version.
-        Sequence: no engine holds all layers, three hold a third each. Cause:
-        only whole engines got requests.
+        Hosts transfer a version: no engine holds all layers, three hold a third
+        each. If only engines with a complete version got requests, all requests
+        would be refused.
         """
 
         async def check(world):
-            self.hold_parts(world, version=1)
+            self.report_partial_versions(world, version=1)
             answer = await world.ask('/draft/x', method='POST')
             assert answer.status == 200
-            first, rest = self.path_of(world)
+            first, rest = self.pipeline_of(world)
             assert first == f'{world.addresses["e0"]}=0-5'
             assert rest == [
                 f'{world.addresses["e1"]}=5-10',
@@ -41,9 +41,9 @@
 
         checked(check, engines=3)
 
-    def test_a_stream_that_may_not_resume_passes_no_path(self):
+    def test_a_stream_that_may_not_resume_uses_no_pipeline(self):
         async def check(world):
-            self.hold_parts(world, version=1)
+            self.report_partial_versions(world, version=1)
             answer = await world.ask('/once/x', method='POST')
             assert answer.status == 503
             assert answer.retry_after_s > 0
@@ -51,41 +51,43 @@
 
         checked(check, engines=3)
 
-    def test_what_waits_is_taken_away_once_a_newer_version_is_named(self):
-        """A token was made by two versions of the weights.
+    def test_a_waiting_request_is_cancelled_when_a_newer_version_is_announced(
+        self,
+    ):
+        """Guards against a token that is made by two versions of the weights.
 
-        Symptom: engines of one path ran two versions. Sequence: a request
-        waits for 2.5 s at the first engine of a path; a newer version is
-        named, and another engine of the path loads it. Cause: the path was
-        looked at when the request was sent, and not again.
+        A request waits for 2.5 s at the first engine of a pipeline. A newer
+        version is announced, and another engine of the pipeline loads it. If
+        the pipeline were checked only at the send, its engines would run two
+        versions.
         """
 
         async def check(world):
-            self.hold_parts(world, version=1)
+            self.report_partial_versions(world, version=1)
             world.replicas['e0'].faults.switch_on(fault('hang', None))
             answer = asyncio.ensure_future(
                 world.ask('/draft/x', method='POST', X_Model='m')
             )
             await world.until(lambda: world.replicas['e0'].runs)
             world.name_version(2)
-            # At the end of the caller's time it would be 504.
+            # The timeout of the caller would give 504.
             assert (await answer).status == 502
 
         checked(check, engines=3, entries=1)
 
-    def test_parts_of_an_older_version_serve_nothing(self):
+    def test_partial_holders_of_an_older_version_serve_nothing(self):
         async def check(world):
-            named = {'model': 'm', 'version': 2}
-            world.store.put('op/version/m', json.dumps(named).encode())
+            announced = {'model': 'm', 'version': 2}
+            world.store.put('op/version/m', json.dumps(announced).encode())
             await world.ready()
-            self.hold_parts(world, version=1)
+            self.report_partial_versions(world, version=1)
             answer = await world.ask('/draft/x', method='POST')
             assert answer.status == 503
             assert not world.replicas['e0'].paths
 
         checked(check, engines=3)
 
-    def hold_parts(self, world, *, version):
+    def report_partial_versions(self, world, *, version):
         upstreams = world.entries[0].upstreams
         for number, layers in enumerate([(0, 5), (5, 10), (10, 16)]):
             replica = world.replicas[f'e{number}']
@@ -100,7 +102,7 @@
                 ),
             )
 
-    def path_of(self, world):
+    def pipeline_of(self, world):
         (path,) = world.replicas['e0'].paths
         first, *rest = path.split(',')
         return first, rest
@@ -121,12 +123,12 @@
 
         checked(check)
 
-    def test_an_old_version_gets_nothing_after_the_window(self):
+    def test_an_old_version_gets_no_request_after_its_end(self):
         async def check(world):
             world.replicas['e1'].weights = 2
             world.list_replica('e1', 'llm')
-            named = {'model': 'm', 'version': 2}
-            world.store.put('op/version/m', json.dumps(named).encode())
+            announced = {'model': 'm', 'version': 2}
+            world.store.put('op/version/m', json.dumps(announced).encode())
             await world.ready()
             view = world.entries[0].catalog.view
             view.releases.window_s = 0
@@ -144,17 +146,19 @@
 
 
 class TestEndsOfVersions:
-    """An old version ends while requests wait at engines that still have it."""
+    """An old version ends while requests wait at engines that still hold it."""
 
-    def test_a_request_that_has_not_begun_goes_on_elsewhere(self, monkeypatch):
-        """Requests began on an old version after its end.
+    def test_a_request_that_has_not_begun_is_retried_elsewhere(
+        self, monkeypatch
+    ):
+        """Guards against requests that begin on an old version after its end.
 
-        Symptom: 8.3 s after version 2 was named a request begins on version 1.
-        Sequence: an entry sends it 0.7 s before the end to a full engine that
-        has not loaded yet; it waits 1.05 s for a slot. Cause: nobody looked
-        again whether a request that was sent in time begins in time.
+        An entry sends a request 0.7 s before the end to a full engine that has
+        not loaded version 2 yet, where it waits 1.05 s for a slot. Without a
+        check that a request sent in time also begins in time, it begins on
+        version 1 as late as 8.3 s after version 2 was announced.
         """
-        # The agent's word is told once here.
+        # The agent's load report is sent only once here.
         monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
 
         async def check(world):
@@ -163,7 +167,7 @@
             world.replicas['e0'].faults.switch_on(fault('hang', None))
             hold_back(world, 'e1')
             answer = asyncio.ensure_future(ask_model(world))
-            await world.until(lambda: own_at(world, 'e0'))
+            await world.until(lambda: has_own_request(world, 'e0'))
             hold_back(world, 'e1', is_changing=False)
             assert (await answer).body == stream_of('a')
             (first,) = [each for each in outlooks(world) if each['id'] == 'e0']
@@ -171,15 +175,14 @@
 
         checked(check, entries=1)
 
-    def test_one_with_the_head_of_an_answer_alone_goes_on_as_well(
+    def test_a_request_with_only_the_head_of_an_answer_is_retried_as_well(
         self, monkeypatch
     ):
-        """A request was taken away up to a pause of a stream too late.
+        """Guards against a cancellation that is late by a stream's pause.
 
-        Symptom: a request begins on an old version after its end, and is
-        taken away 0.9 s after that was due. Sequence: the engine sends the
-        head of its answer before it begins. Cause: only the head had to come
-        in time.
+        The engine sends the head of its answer before it begins. If only the
+        head had to arrive in time, the request would be cancelled 0.9 s too
+        late and begin on an old version after its end.
         """
         monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
 
@@ -189,20 +192,20 @@
             world.replicas['e0'].faults.switch_on(fault('head_alone', None))
             hold_back(world, 'e1')
             answer = asyncio.ensure_future(ask_model(world))
-            await world.until(lambda: own_at(world, 'e0'))
+            await world.until(lambda: has_own_request(world, 'e0'))
             hold_back(world, 'e1', is_changing=False)
             assert (await answer).body == stream_of('a')
 
         checked(check, entries=1)
 
-    def test_what_may_still_be_on_its_way_at_the_end_is_not_sent(self):
-        """A request began on an old version after it was taken away.
+    def test_a_request_that_could_be_in_transit_at_the_end_is_not_sent(self):
+        """Guards against a request that begins after it was cancelled.
 
-        Symptom: 8.05 s after version 3 was named a request begins on version
-        2. Sequence: it is sent 0.53 s before the end to an engine that is
-        forecast to begin at once; the link is full; the entry closes the
-        connection 0.3 s before the end, the request arrives 0.26 s after the
-        close. Cause: only the forecast decided whether it was still sent.
+        A request is sent 0.53 s before the end to an engine that is forecast to
+        begin at once, over a saturated link. The entry closes the connection
+        0.3 s before the end, and the request arrives 0.26 s after the close. If
+        only the forecast decided whether it is sent, it would begin on version
+        2 as late as 8.05 s after version 3 was announced.
         """
 
         async def check(world):
@@ -215,8 +218,8 @@
 
         checked(check, entries=1)
 
-    def test_one_that_may_not_be_sent_again_is_kept_away_early(self):
-        """At a full engine it waits for up to a second before it begins."""
+    def test_a_request_that_may_not_be_retried_needs_a_longer_margin(self):
+        """At a full engine a request waits up to a second before it begins."""
 
         async def check(world):
             name_second(world, 'e1', end_s=1.2)
@@ -230,32 +233,32 @@
 
 
 class TestUnknownAges:
-    def test_an_engine_is_used_on_after_the_platform_was_away(self):
-        """See `StoreReading.unknown_age_s`: here it is seen by a caller."""
+    def test_an_engine_stays_in_use_after_a_platform_outage(self):
+        """Test the effect of `StoreReading.unknown_age_s` on a caller."""
 
         async def check(world):
             task = world.entries[0].catalog
             task.reading.confirmed_at -= 10
             task.reading.on_answer(clock_s())
-            named = PublishedItem(
+            announced = PublishedItem(
                 key='op/version/m',
                 revision=task.catalog.revision + 1,
                 payload=json.dumps({'model': 'm', 'version': 2}).encode(),
             )
             task.on_records_came(
-                RecordsCame((named,), named.revision, False, 'a peer')
+                RecordsCame((announced,), announced.revision, False, 'a peer')
             )
             assert (await ask_model(world)).status == 200
 
         checked(check, entries=1, bounds={'version_s': 8})
 
-    def test_a_record_that_was_known_without_its_age_is_no_change(self):
-        """All processes are new, and none can tell another the age.
+    def test_a_record_of_unknown_age_is_no_recent_change(self):
+        """Guards against an unknown age that counts as a change just now.
 
-        Symptom: a request begins on a version that was replaced long ago.
-        Sequence: all processes are killed, each lists the records, each asks
-        another how old they are. Cause: an age that the other didn't know
-        either counted as that of a change of now.
+        All processes are killed and restarted. Each lists the records and asks
+        another for their age, which that one doesn't know either. If the age
+        counted as zero, a request would begin on a version that was replaced
+        long ago.
         """
 
         async def check(world):
@@ -276,8 +279,8 @@
 
         checked(check, entries=0)
 
-    def test_a_new_entry_asks_a_peer_how_old_a_version_is(self):
-        """An entry that restarts in the middle of a change serves on."""
+    def test_a_new_entry_asks_a_peer_for_the_age_of_a_version(self):
+        """An entry that restarts during a version change keeps serving."""
 
         async def check(world):
             world.name_version(2)
@@ -293,5 +296,5 @@
     return world.entries[0].upstreams.status()
 
 
-def own_at(world, name):
+def has_own_request(world, name):
     return any(each['own'] for each in outlooks(world) if each['id'] == name)
--- a/tests/fleet/test_late_sends.py
+++ b/tests/fleet/test_late_sends.py
@@ -1,4 +1,4 @@
-"""Requests that were admitted in time, and wait near a version's end."""
+"""Requests that are admitted in time and wait near a version's end."""
 
 from __future__ import annotations
 
@@ -11,24 +11,21 @@
 
 
 class TestSecondLook:
-    def test_what_waited_for_its_connection_is_looked_at_again(
-        self, monkeypatch
-    ):
-        """A request was sent just before its version's end.
+    def test_checks_the_time_to_begin_again_after_connecting(self, monkeypatch):
+        """Guards against a send just before the version's end.
 
-        Symptom: a request begins on an old version after its end. Sequence:
-        an engine is chosen 1.6 s before the end, the connection to it takes
-        0.9 s, the request goes out with less time left than what is sent at
-        all. Cause: the time to begin in was looked at before the wait for a
-        connection, and not after it.
+        An engine is chosen 1.6 s before the end, and the connection to it takes
+        0.9 s. If the time to begin were checked only before the wait for the
+        connection, the request would be sent with less than the least time
+        left, and begin on the old version after its end.
         """
-        # The agent's word is told once here.
+        # The agent's load report is sent only once here.
         monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
 
         async def check(world):
-            end_soon(world, end_s=1.6)
+            announce_second_version(world, end_s=1.6)
             await world.ready()
-            keep_away(world, 'e1')
+            report_changing(world, 'e1')
             delay_connections(world.entries[0], by_s=0.9)
             answer = await ask_model(world, '/draft/x')
             assert answer.status == 503
@@ -38,24 +35,23 @@
 
 
 class TestNotMovable:
-    def test_one_that_may_not_be_sent_again_is_taken_back_too(
+    def test_a_request_that_may_not_be_retried_is_cancelled_too(
         self, monkeypatch
     ):
-        """A request began on an old version after its end.
-
-        Symptom: a request that may not repeat, or one that was moved on to
-        its last engine, or any while no retry is left, begins on an old
-        version after its end. Sequence: it is sent over 1.6 s before the
-        end, and waits at the engine for longer. Cause: only what can be sent
-        elsewhere was taken away; the rest counted on 1.6 s being enough for
-        every queue.
+        """Guards against requests that begin on an old version after its end.
+
+        This concerns requests that may not be repeated, those on their last
+        attempt, and any while the retry budget is empty. Such a request is sent
+        over 1.6 s before the end and waits at the engine for longer. If only
+        retryable requests were cancelled, it would begin after the end: 1.6 s
+        is not enough for every queue.
         """
         monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
 
         async def check(world):
-            end_soon(world, end_s=2.4)
+            announce_second_version(world, end_s=2.4)
             await world.ready()
-            keep_away(world, 'e1')
+            report_changing(world, 'e1')
             world.replicas['e0'].faults.switch_on(fault('hang', None))
             releases = world.entries[0].catalog.view.releases
             answer = await ask_model(world, '/once/x')
@@ -66,8 +62,8 @@
         checked(check, entries=1)
 
 
-def end_soon(world, *, end_s):
-    """Name a second version, which one replica has; the first ends soon."""
+def announce_second_version(world, *, end_s):
+    """Announce a second version, which e1 holds; the first ends soon."""
     world.replicas['e1'].weights = 2
     world.list_replica('e1', 'llm')
     world.name_version(2)
@@ -75,8 +71,8 @@
         entry.catalog.view.releases.window_s = end_s
 
 
-def keep_away(world, name):
-    """Have the agent beside a replica ask for no requests."""
+def report_changing(world, name):
+    """Report that a replica is changing, so that it gets no requests."""
     load = EngineLoad(
         address=world.addresses[name],
         reachable=True,
@@ -88,7 +84,7 @@
 
 
 def delay_connections(entry, *, by_s):
-    """Have an entry's connections to upstreams take so long."""
+    """Delay an entry's connections to upstreams."""
     pool = entry.upstreams.pool
     real = pool.take
 
@@ -104,34 +100,36 @@
 
 
 class TestOverdueWord:
-    """Guards against sends over a link that holds everything up for seconds."""
+    """Guards against sends over a link that delays all traffic for seconds."""
 
-    def test_an_upstream_whose_word_is_overdue_gets_nothing_near_the_end(self):
+    def test_an_upstream_with_an_overdue_load_report_gets_nothing_near_the_end(
+        self,
+    ):
         async def check(world):
-            end_soon(world, end_s=1.55)
+            announce_second_version(world, end_s=1.55)
             await world.ready()
-            keep_away(world, 'e1')
-            tell(world, 'e0', age_s=1.9)
+            report_changing(world, 'e1')
+            report_load(world, 'e0', age_s=1.9)
             answer = await ask_model(world, '/draft/x')
             assert answer.status == 503
             assert not world.replicas['e0'].runs
 
         checked(check, entries=1)
 
-    def test_one_that_spoke_just_now_gets_it(self):
+    def test_an_upstream_with_a_recent_load_report_gets_the_request(self):
         async def check(world):
-            end_soon(world, end_s=1.55)
+            announce_second_version(world, end_s=1.55)
             await world.ready()
-            keep_away(world, 'e1')
-            tell(world, 'e0', age_s=0)
+            report_changing(world, 'e1')
+            report_load(world, 'e0', age_s=0)
             answer = await ask_model(world, '/draft/x')
             assert answer.status == 200
 
         checked(check, entries=1)
 
 
-def tell(world, name, *, age_s):
-    """Tell an entry the word of an upstream's agent, so old."""
+def report_load(world, name, *, age_s):
+    """Send the entries a load report of the given age for an upstream."""
     load = EngineLoad(address=world.addresses[name], reachable=True, weights=1)
     for entry in world.entries:
         entry.upstreams.on_load(load, age_s=age_s)
--- a/tests/fleet/test_load_relay.py
+++ b/tests/fleet/test_load_relay.py
@@ -14,7 +14,7 @@
 
 REGIONS = ('a', 'b', 'c')
 ETHERNET_BYTES = 1472
-WORDS = [
+ENTRIES = [
     MemberWord(
         ip=f'10.0.0.{number}',
         role='entry',
@@ -27,22 +27,22 @@
 
 
 class Peers:
-    """Knows all entries, and takes what is told."""
+    """Knows all entries and records the datagrams that are sent."""
 
     def __init__(self, region):
         self._region = region
-        self.told = []
+        self.sent = []
 
     def entries(self):
-        return WORDS
+        return ENTRIES
 
     def entry_ips(self):
-        near = [word.ip for word in WORDS if word.region == self._region]
-        far = [word.ip for word in WORDS if word.region != self._region]
+        near = [entry.ip for entry in ENTRIES if entry.region == self._region]
+        far = [entry.ip for entry in ENTRIES if entry.region != self._region]
         return near, far
 
     def tell(self, datagram, ips):
-        self.told.append((datagram, list(ips)))
+        self.sent.append((datagram, list(ips)))
 
 
 def load(number=0, **more):
@@ -63,60 +63,65 @@
 
 
 class TestLoadRelay:
-    def test_two_of_a_region_tell_one_of_each_other_region(self, clock):
-        """Words on load took as much of the region links as answers did.
-
-        Symptom: streams pause while nothing else happens. Sequence: each of
-        thirty agents tells each of thirty far entries its load three times a
-        second. Cause: every word crossed as often as there were entries.
+    def test_two_relays_of_a_region_send_to_one_of_each_other_region(
+        self, clock
+    ):
+        """Guards against load reports that fill the links between regions.
+
+        Each of thirty agents sends its load to each of thirty entries of other
+        regions three times a second. If every report crossed once per entry,
+        reports would take as much of the links as answers, and streams would
+        pause without any other load.
         """
-        told = []
-        for word in WORDS:
-            relay, peers = relay_at(word.ip, word.region)
+        sent = []
+        for entry in ENTRIES:
+            relay, peers = relay_at(entry.ip, entry.region)
             relay.on_load(load())
-            relay._tell()
-            told += [(word.region, ip) for _, ips in peers.told for ip in ips]
-        assert len(told) == 3 * 2 * 2
-        assert len(set(told)) == len(told)
+            relay._send_batches()
+            sent += [(entry.region, ip) for _, ips in peers.sent for ip in ips]
+        assert len(sent) == 3 * 2 * 2
+        assert len(set(sent)) == len(sent)
 
-    def test_what_came_is_told_to_the_own_region_once(self, clock):
-        relay, peers = relay_at(WORDS[0].ip, 'a')
+    def test_a_received_batch_is_forwarded_once_in_the_own_region(self, clock):
+        relay, peers = relay_at(ENTRIES[0].ip, 'a')
         batch = LoadBatch(loads=(load(),), ages_ms=(10,), pass_on=True)
-        relay.pass_on(batch)
-        ((told, ips),) = peers.told
-        assert not told.pass_on
-        assert WORDS[0].ip not in ips
+        relay.forward(batch)
+        ((sent, ips),) = peers.sent
+        assert not sent.pass_on
+        assert ENTRIES[0].ip not in ips
         assert len(ips) == 9
 
-    def test_the_word_of_a_dead_agent_is_not_repeated(self, clock):
-        """An engine without power looked empty to other regions for ever.
+    def test_the_report_of_a_dead_agent_is_not_repeated(self, clock):
+        """Guards against an engine without power that looks idle for ever.
 
-        Symptom: requests are sent there and wait for their time-out. Cause: a
-        last word that is passed on again and again, and counts as fresh.
+        If a last report were forwarded repeatedly and counted as recent,
+        entries of other regions would send requests there, which wait for
+        their timeout.
         """
-        relay, peers = relay_at(relays(WORDS, 'a')[0], 'a')
+        relay, peers = relay_at(relays(ENTRIES, 'a')[0], 'a')
         relay.on_load(load())
         clock['now'] += 0.7
-        relay._tell()
-        assert not peers.told
+        relay._send_batches()
+        assert not peers.sent
 
     def test_a_batch_fits_into_one_packet(self, clock):
-        relay, peers = relay_at(relays(WORDS, 'a')[0], 'a')
+        relay, peers = relay_at(relays(ENTRIES, 'a')[0], 'a')
         for number in range(60):
             relay.on_load(load(number, weights=3, running=16, queued=20))
-        relay._tell()
-        sizes = [len(encode_message(batch)) for batch, _ in peers.told]
+        relay._send_batches()
+        sizes = [len(encode_message(batch)) for batch, _ in peers.sent]
         assert len(sizes) == 3
         assert max(sizes) <= ETHERNET_BYTES
 
 
-class TestOrderOfWords:
-    def test_an_older_word_does_not_replace_a_newer_one(self):
-        """An engine that was being loaded got requests from another region.
+class TestOrderOfLoadReports:
+    def test_an_older_report_does_not_replace_a_newer_one(self):
+        """Guards against requests to an engine that is loading.
 
-        Sequence: its agent says so to everyone; a batch that another entry
-        made just before says that it is at rest. Cause: the word that came
-        last counted as the newest.
+        Its agent reports the load to all entries. A batch that another entry
+        made just before, and that arrives later, still reports it as idle. If
+        the report that arrived last counted as the newest, entries of other
+        regions would send it requests.
         """
         outlook = Outlook(Upstream(id='i', service='s', address='10.1.0.0:80'))
         outlook.on_load(load(is_changing=True), now=10.0)
--- a/tests/fleet/test_named_limit.py
+++ b/tests/fleet/test_named_limit.py
@@ -1,4 +1,4 @@
-"""An upstream that names a limit, before real entries."""
+"""An upstream that names a rate limit, with real entries."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 LIMIT_PER_S = 1.0
 WINDOW_S = 4.0
-LASTS_S = 3.0
+SEND_DURATION_S = 3.0
 PAUSE_S = 0.04
-SPREADS_S = 0.5
-"""Until entries that were told of a limit have to keep it."""
+PROPAGATION_S = 0.5
+"""Time until all entries must respect a limit."""
 
 
-def allowed(limit_per_s):
-    """Give the most requests in a window."""
+def max_arrivals(limit_per_s):
+    """Return the maximum number of requests in a window."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
-async def ask_all(world, lasts_s=LASTS_S, path='/read/x'):
-    """Send requests to all entries in turn, many more than the limit."""
-    ends_at = time.monotonic() + lasts_s
+async def send_to_all(world, duration_s=SEND_DURATION_S, path='/read/x'):
+    """Send requests to all entries in turn, far above the limit."""
+    ends_at = time.monotonic() + duration_s
     answers: list[Answer] = []
     while time.monotonic() < ends_at:
         entry = len(answers) % len(world.entries)
@@ -37,16 +37,16 @@
 
 
 class TestNamedLimit:
-    """Guards against a limit that every entry keeps for itself, or none."""
+    """Guards against a limit that entries apply separately or not at all."""
 
-    def test_all_entries_together_keep_an_upstreams_limit(self):
+    def test_all_entries_together_respect_the_limit_of_an_upstream(self):
         async def check(world):
             limited = world.replicas['p0']
             limited.limit_per_s = str(LIMIT_PER_S)
             began_at = time.monotonic()
-            answers = await ask_all(world)
-            got = arrivals(limited, began_at + SPREADS_S)
-            assert got <= allowed(LIMIT_PER_S)
+            answers = await send_to_all(world)
+            got = arrivals(limited, began_at + PROPAGATION_S)
+            assert got <= max_arrivals(LIMIT_PER_S)
             assert {answer.status for answer in answers} == {200}
 
         checked(check, entries=3)
