--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
@@ -20,12 +20,12 @@
 """How long the share of a limited upstream is cached: computing who sends to it
 takes time proportional to the number of entries."""
 
-MAX_UPDATES_PER_DATAGRAM = 16
-"""Updates read from one datagram; further ones are ignored."""
+MAX_REPORTS_PER_DATAGRAM = 16
+"""Reports read from one datagram; further ones are ignored."""
 
 
 class UpstreamLimits:
-    """Rate limits by upstream, and the updates on them between entries.
+    """Rate limits by upstream, and the reports on them between entries.
 
     Parameters
     ----------
@@ -51,23 +51,23 @@
 
     def on_answer(self, upstream_id: str, per_s: float | None) -> None:
         """Apply the limit that an upstream's answer names, if any."""
-        update = self._limits.on_answer(upstream_id, per_s, now=clock_s())
-        if update is not None:
-            self._log(update, self._peers.roster.own.ip)
-            self._peers.tell_partners(LimitNews((update,)))
+        report = self._limits.on_answer(upstream_id, per_s, now=clock_s())
+        if report is not None:
+            self._log(report, self._peers.roster.own.ip)
+            self._peers.tell_partners(LimitNews((report,)))
 
     def on_news(self, ip: str, news: LimitNews) -> None:
-        """Apply updates from another entry and send the new ones on."""
+        """Apply the reports of another entry and forward the new ones."""
         if not self._peers.roster.knows(ip, now=clock_s()):
             self._runtime.log.debug(
                 'limit update from an unknown host',
                 extra={'step': 'limit', 'peer': ip},
             )
             return
-        for update in news.words[:MAX_UPDATES_PER_DATAGRAM]:
-            if self._limits.on_word(update, now=clock_s()) is not None:
-                self._log(update, ip)
-                self._peers.tell_partners(LimitNews((update,)))
+        for report in news.words[:MAX_REPORTS_PER_DATAGRAM]:
+            if self._limits.on_word(report, now=clock_s()) is not None:
+                self._log(report, ip)
+                self._peers.tell_partners(LimitNews((report,)))
 
     def has_room(self, upstream_id: str) -> bool:
         """Return whether a request may be sent to an upstream now."""
@@ -108,14 +108,14 @@
         is_sender = self._peers.roster.own.ip in senders
         return 1 / len(senders) if is_sender else 0
 
-    def _log(self, update: LimitWord, source_ip: str) -> None:
+    def _log(self, report: LimitWord, source_ip: str) -> None:
         self._runtime.log.info(
             'limit of an upstream',
             extra={
                 'step': 'limit',
-                'upstream': update.upstream_id,
-                'per_s': update.per_s,
+                'upstream': report.upstream_id,
+                'per_s': report.per_s,
                 'teller': source_ip,
-                'age_s': update.age_ms / 1000,
+                'age_s': report.age_ms / 1000,
             },
         )
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
@@ -139,7 +139,7 @@
             self._apply(effects)
 
     def on_news(self, ip: str, news: SuspectNews) -> None:
-        """Apply the updates of another entry."""
+        """Apply the reports of another entry."""
         if not self._peers.roster.knows(ip, now=clock_s()):
             self._runtime.log.debug(
                 'suspect update from an unknown host',
@@ -149,22 +149,22 @@
         self._apply(self._core.on_news(news, now=clock_s()))
 
     async def send_reminders(self) -> None:
-        """Repeat updates for entries that have started since or missed them."""
+        """Repeat reports for entries that have started since or missed them."""
         while True:
             await sleep_to_tick(REMINDER_INTERVAL_S)
-            updates = self._core.reminder(self._random, now=clock_s())
+            reports = self._core.reminder(self._random, now=clock_s())
             others = self._others()
-            if updates and others:
-                self._send(updates, [self._random.choice(others)])
+            if reports and others:
+                self._send(reports, [self._random.choice(others)])
 
     def _apply(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Tell(word=update, audience=Audience.PARTNERS):
-                    self._peers.tell_partners(SuspectNews((update,)))
-                case Tell(word=update):
-                    ips = owners(update.digest, self._entry_ips())
-                    self._send([update], self._without_own(ips))
+                case Tell(word=report, audience=Audience.PARTNERS):
+                    self._peers.tell_partners(SuspectNews((report,)))
+                case Tell(word=report):
+                    ips = owners(report.digest, self._entry_ips())
+                    self._send([report], self._without_own(ips))
                 case Convicted(digest=digest, lives=incarnation_ids):
                     self._on_convicted(digest, incarnation_ids)
 
@@ -185,9 +185,9 @@
         for request in requests:
             request.on_convicted()
 
-    def _send(self, updates: list[SuspectWord], ips: list[str]) -> None:
+    def _send(self, reports: list[SuspectWord], ips: list[str]) -> None:
         if ips:
-            self._peers.tell(SuspectNews(tuple(updates)), ips)
+            self._peers.tell(SuspectNews(tuple(reports)), ips)
 
     def _entry_ips(self) -> list[str]:
         return [entry.ip for entry in self._peers.entries()]
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
@@ -174,11 +174,11 @@
             self._relay.forward(batch)
 
     def suspects_heard(self, ip: str, news: SuspectNews) -> None:
-        """Apply an entry's updates on requests under which upstreams ended."""
+        """Apply an entry's reports on requests under which upstreams ended."""
         self.quarantine.on_news(ip, news)
 
     def limits_heard(self, ip: str, news: LimitNews) -> None:
-        """Apply an entry's updates on limits that upstreams named."""
+        """Apply an entry's reports on limits that upstreams named."""
         self.upstreams.limits.on_news(ip, news)
 
     def on_change(self) -> None:
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstreams.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstreams.py
@@ -277,8 +277,8 @@
     ) -> list[tuple[list[Outlook | Candidate], int]]:
         """Return the pools to sample from, most frequent reporters first.
 
-        Their load reports are the most recent; an older report sends more
-        requests to an engine than it has capacity for.
+        Their load reports are the most recent. With an older report, more
+        requests go to one engine than it has capacity for.
         """
         pool = self._pools.get(required.service, _Pool())
         pipelines = self._pipeline_candidates(required, now)
@@ -293,8 +293,8 @@
             *pool.far,
             *(each for each in pipelines if each.other_region),
         ]
-        near_enough = DRAWN - 1
-        return [(close, near_enough), (others, near_enough), (far, DRAWN)]
+        enough_local = DRAWN - 1
+        return [(close, enough_local), (others, enough_local), (far, DRAWN)]
 
     def _fitting_candidate(
         self,
@@ -377,16 +377,18 @@
         Holders of older versions are left out: an engine may change to a newer
         version while a report on its part of an older one is still valid.
         """
-        parts = [
+        partial_holders = [
             (outlook, part)
             for outlook in self._usable(required, now)
             if (part := outlook.part(now)) and not outlook.is_avoided(now)
         ]
         models = {
-            outlook.model.figures.model for outlook, _ in parts if outlook.model
+            outlook.model.figures.model
+            for outlook, _ in partial_holders
+            if outlook.model
         }
         newest = self._view.releases.newest(next(iter(models), required.model))
-        held = max((version for _, (version, _) in parts), default=0)
+        held = max((version for _, (version, _) in partial_holders), default=0)
         version = newest.version if newest else held
         region_of = self._node.place.region_of
         return version, [
@@ -395,7 +397,7 @@
                 layers=layers,
                 region=region_of(outlook.upstream.failure_domain),
             )
-            for outlook, (each, layers) in parts
+            for outlook, (each, layers) in partial_holders
             if each == version
         ]
 
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_version_end.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_version_end.py
@@ -26,9 +26,9 @@
 MIN_START_WINDOW_S = 0.6
 """Least time to begin. A request that is sent later may still be in transit
 when it is cancelled, and begin after the version's end. Over a saturated link
-the way to the engine took 0.49 s, and a request began 52 ms after the end although
-its connection had been closed for 0.35 s. More heavily loaded links take up to
-1.7 s, which the engine's agent has to handle."""
+the way to the engine took 0.49 s, and a request began 52 ms after the end
+although its connection had been closed for 0.35 s. More heavily loaded links
+take up to 1.7 s, which the engine's agent has to handle."""
 
 LOCAL_REPORT_AGE_S = 0.5
 """Usual age of a load report from the own region: agents repeat it every
--- a/tests/fleet/test_attempt_line.py
+++ b/tests/fleet/test_attempt_line.py
@@ -200,7 +200,9 @@
 
 
 class TestLogLine:
-    def test_the_fields_can_be_encoded_as_json(self, caplog, monkeypatch):
+    def test_logs_json_compatible_fields_of_a_cancelled_attempt(
+        self, caplog, monkeypatch
+    ):
         # The agent's load report is sent only once here.
         monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
 
--- a/tests/fleet/test_crashing_request.py
+++ b/tests/fleet/test_crashing_request.py
@@ -63,9 +63,9 @@
 
         async def check(world):
             Crashes(world).arm()
-            asked = asyncio.ensure_future(send_fatal(world))
+            sending = asyncio.ensure_future(send_fatal(world))
             number = 0
-            while not asked.done():
+            while not sending.done():
                 number += 1
                 assert await is_stream_served(world, number)
 
@@ -108,7 +108,7 @@
     def test_a_waiting_attempt_is_cancelled_and_answered_at_once(self):
         async def check(world):
             spoil_all(world, 'e', 'hang', None)
-            asked = asyncio.ensure_future(
+            sending = asyncio.ensure_future(
                 world.ask('/draft/x', method='POST', body=FATAL_BODY)
             )
             await world.until(lambda: has_runs(world))
@@ -117,7 +117,7 @@
             world.entries[0].suspects_heard(
                 peer_ip, quarantine_update(FATAL_BODY)
             )
-            answer = await asked
+            answer = await sending
             assert answer.status == 400
             assert world.entries[0].requests.running == 0
 
--- a/tests/fleet/test_entry.py
+++ b/tests/fleet/test_entry.py
@@ -11,7 +11,7 @@
 from support.fleet_checks import all_runs, checked, fault, spoil_all
 
 
-class TestWholeAnswers:
+class TestCompleteAnswers:
     def test_a_plain_answer_is_forwarded_unchanged(self):
         async def check(world):
             answer = await world.ask('/read/x?y=1', request_id='a')
@@ -35,7 +35,7 @@
 
         checked(check)
 
-    def test_replaces_the_key_by_the_customer_name(self):
+    def test_sends_the_customer_of_the_key_to_the_upstream(self):
         async def check(world):
             await world.ask('/read/x', request_id='a', X_Tenant='somebody')
             (began,) = all_runs(world, 'a')
@@ -247,7 +247,7 @@
 
         checked(check)
 
-    def test_cancels_at_the_upstream_when_the_caller_leaves(self):
+    def test_a_request_ends_when_its_caller_leaves(self):
         async def check(world):
             spoil_all(world, 'e', 'slow', None, amount=3.0)
             asking = asyncio.ensure_future(
