--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_collecting.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_active_transfer.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from crowrudder_core.transfer import Transfer
     from crowrudder_daemon.fleet_agent._digests import Named
-    from crowrudder_daemon.fleet_agent._goals import Goal
+    from crowrudder_daemon.fleet_agent._goal import Goal
 
 STARVED_S = 0.8
 """Without a chunk of the newest version for so long, the one before is read as
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_end_guard.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_end_guard.py
@@ -12,7 +12,7 @@
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon._ticks import until_tick_s
 from crowrudder_daemon.fleet_agent._digests import version_name
-from crowrudder_daemon.fleet_agent._goals import LEAST_USE_S, figures_of
+from crowrudder_daemon.fleet_agent._goal import LEAST_USE_S, figures_of
 from crowrudder_daemon.fleet_agent._loader import CLOSING_S, Load
 from crowrudder_model import CrowrudderError
 from crowrudder_model.fleet import LayerRange
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_keeper.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_keeper.py
@@ -10,8 +10,8 @@
 
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon._ticks import until_tick_s
-from crowrudder_daemon.fleet_agent._collecting import Collecting
-from crowrudder_daemon.fleet_agent._goals import (
+from crowrudder_daemon.fleet_agent._active_transfer import Collecting
+from crowrudder_daemon.fleet_agent._goal import (
     LEAST_USE_S,
     Goal,
     newest_goal,
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
@@ -32,10 +32,10 @@
     DigestReader,
     version_name,
 )
-from crowrudder_daemon.fleet_agent._goals import figures_of, model_of
-from crowrudder_daemon.fleet_agent._manifests import ManifestBook
+from crowrudder_daemon.fleet_agent._goal import figures_of, model_of
+from crowrudder_daemon.fleet_agent._load_schedule import reads_at_once
+from crowrudder_daemon.fleet_agent._manifest_cache import ManifestBook
 from crowrudder_daemon.fleet_agent._origin_chunks import OriginChunks
-from crowrudder_daemon.fleet_agent._turn import reads_at_once
 from crowrudder_daemon.settings import WeightsSection
 from crowrudder_model.fleet import NO_LAYERS, LayerRange
 from crowrudder_model.messages import ChunkNews, StockReply
@@ -48,7 +48,7 @@
     from crowrudder_daemon.fleet import PeersTask, Tuning
     from crowrudder_daemon.fleet.ports import EnginePort, WeightsOriginPort
     from crowrudder_daemon.fleet_agent._digests import Named
-    from crowrudder_daemon.fleet_agent._goals import Goal
+    from crowrudder_daemon.fleet_agent._goal import Goal
     from crowrudder_daemon.process import Runtime
     from crowrudder_daemon.rpc import PeerClient, PeerServer
     from crowrudder_model.fleet import Node
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_loader.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_loader.py
@@ -9,8 +9,8 @@
 
 from crowrudder_core.transfer import full, indices
 from crowrudder_daemon._clock import clock_s
-from crowrudder_daemon.fleet_agent._goals import is_of_use, may_cut_off
-from crowrudder_daemon.fleet_agent._turn import load_delay_s
+from crowrudder_daemon.fleet_agent._goal import is_of_use, may_cut_off
+from crowrudder_daemon.fleet_agent._load_schedule import load_delay_s
 from crowrudder_model import InvariantError, UpstreamError
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from crowrudder_daemon.fleet.ports import EnginePort
     from crowrudder_daemon.fleet_agent._digests import Named
     from crowrudder_daemon.fleet_agent._engine_watch import EngineWatch
-    from crowrudder_daemon.fleet_agent._goals import Goal
+    from crowrudder_daemon.fleet_agent._goal import Goal
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.fleet import LayerRange, Node
 
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_role.py
@@ -7,7 +7,7 @@
 from crowrudder_daemon.fleet import FleetRole
 from crowrudder_daemon.fleet_agent._end_guard import EndGuard
 from crowrudder_daemon.fleet_agent._engine_watch import EngineWatch
-from crowrudder_daemon.fleet_agent._goals import figures_of
+from crowrudder_daemon.fleet_agent._goal import figures_of
 from crowrudder_daemon.fleet_agent._keeper import WeightsKeeper
 from crowrudder_daemon.fleet_agent._library import Library
 from crowrudder_daemon.fleet_agent._loader import Loader
--- a/tests/fleet/test_end_races.py
+++ b/tests/fleet/test_end_races.py
@@ -16,9 +16,9 @@
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet.ports import EngineReading
 from crowrudder_daemon.fleet_agent import _loader
-from crowrudder_daemon.fleet_agent._collecting import Collecting
+from crowrudder_daemon.fleet_agent._active_transfer import Collecting
 from crowrudder_daemon.fleet_agent._end_guard import EndGuard
-from crowrudder_daemon.fleet_agent._goals import Goal
+from crowrudder_daemon.fleet_agent._goal import Goal
 from crowrudder_daemon.fleet_agent._keeper import WeightsKeeper
 from crowrudder_daemon.fleet_agent._library import Part
 from crowrudder_daemon.fleet_agent._loader import Load, Loader
--- a/tests/fleet/test_ends_at_engines.py
+++ b/tests/fleet/test_ends_at_engines.py
@@ -8,7 +8,7 @@
 import pytest
 
 from crowrudder_daemon._clock import clock_s
-from crowrudder_daemon.fleet_agent._goals import is_of_use
+from crowrudder_daemon.fleet_agent._goal import is_of_use
 from crowrudder_standins._slots import Slots
 from crowrudder_standins.fleet_replica import stream_of
 from crowrudder_standins.origin import Pacer
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -9,7 +9,10 @@
 
 from crowrudder_core.catalog import Releases
 from crowrudder_daemon.fleet_agent._engine_watch import _Audience
-from crowrudder_daemon.fleet_agent._turn import load_delay_s, reads_at_once
+from crowrudder_daemon.fleet_agent._load_schedule import (
+    load_delay_s,
+    reads_at_once,
+)
 from crowrudder_model.messages import EngineLoad
 
 
