--- a/packages/daemon/src/crowrudder_daemon/chunks/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/__init__.py
@@ -1,4 +1,4 @@
-"""Chunks of weights on their way between hosts, for every kind of agent."""
+"""Transfer of weight chunks between hosts, for every kind of agent."""
 
 from crowrudder_daemon.chunks._artifact import Artifact
 from crowrudder_daemon.chunks._collect import Collector
@@ -11,7 +11,7 @@
 from crowrudder_daemon.chunks._stock import (
     EngineNote,
     UploadSlots,
-    note_stock,
+    apply_inventory,
 )
 from crowrudder_daemon.chunks._uploads import ChunkService
 from crowrudder_daemon.chunks._watch import WeightsWatch
@@ -27,5 +27,5 @@
     'Shelf',
     'UploadSlots',
     'WeightsWatch',
-    'note_stock',
+    'apply_inventory',
 )
--- a/packages/daemon/src/crowrudder_daemon/chunks/_artifact.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_artifact.py
@@ -1,4 +1,4 @@
-"""Weights by the name and the digest under which agents ask for them."""
+"""Name and manifest digest that identify weights in requests of agents."""
 
 from __future__ import annotations
 
--- a/packages/daemon/src/crowrudder_daemon/chunks/_collect.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_collect.py
@@ -1,4 +1,4 @@
-"""Carry out what a transfer decides, until all its chunks are held."""
+"""Execute the reads that a transfer decides on until it is complete."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     NoSourceError,
     PeerAnswer,
 )
-from crowrudder_daemon.chunks._stock import note_stock
+from crowrudder_daemon.chunks._stock import apply_inventory
 from crowrudder_model import CrowrudderError, InvariantError, PeerLostError
 from crowrudder_model.messages import ChunkAsk
 
@@ -27,18 +27,18 @@
     from crowrudder_model.messages import StockReply
 
 TICK_S = 0.05
-"""Between two looks of a transfer at which no call has ended, seconds."""
+"""Interval at which a transfer is advanced if no call ends, seconds."""
 
 
 class Collector:
-    """The calls that one transfer has under way.
+    """Runs the concurrent calls of one transfer.
 
     Parameters
     ----------
     address_of
-        Gives the address of a host's agent, None for one that is gone.
+        Returns the address of a host's agent, None for a host that is gone.
     own_stock
-        Gives what this host tells others of the version.
+        Returns this host's inventory of the version.
     """
 
     def __init__(
@@ -59,14 +59,14 @@
         self._downlink = downlink
         self._address_of = address_of
         self._watch = watch
-        self._asked = Asked(
+        self._version_ref = Asked(
             transfer.host,
             transfer.manifest.version,
             transfer.manifest_digest,
         )
         self._jobs: set[asyncio.Task[None]] = set()
         self._reads: dict[Read, asyncio.Task[None]] = {}
-        self._woken = asyncio.Event()
+        self._wakeup = asyncio.Event()
 
     async def run(self) -> None:
         """Read until the transfer is complete or dropped."""
@@ -83,44 +83,44 @@
     def _advance(self) -> None:
         now = self._now()
         for read in self._transfer.overdue(now=now):
-            self._give_up(read)
+            self._cancel_stalled(read)
         for host in self._transfer.peers_to_ask(now=now):
-            self._spawn(self._ask(host))
+            self._spawn(self._query_inventory(host))
         for read in self._transfer.next_reads(now=now):
             self._reads[read] = self._spawn(self._read(read))
 
     async def _wait(self) -> None:
-        """Wait for the end of a call, or a tick.
+        """Wait for the end of a call or the next tick.
 
-        Not by `asyncio.wait_for`: woken in the turn of the loop in which it is
-        cancelled, it forgets the cancellation, seen as a process that doesn't
-        end. `asyncio.timeout` waits in this task, which keeps it.
+        `asyncio.wait_for` loses a cancellation that arrives in the same
+        iteration of the event loop as the wakeup, so the process would not
+        end. `asyncio.timeout` waits in this task and keeps the cancellation.
         """
-        self._woken.clear()
+        self._wakeup.clear()
         try:
             async with asyncio.timeout(TICK_S):
-                await self._woken.wait()
+                await self._wakeup.wait()
         except TimeoutError:
             return
 
-    def _give_up(self, read: Read) -> None:
-        """End a read that stalls; its source is believed the less."""
-        self._watch.stalled(self._asked.version, read)
+    def _cancel_stalled(self, read: Read) -> None:
+        """Cancel a stalled read and count a failure against its source."""
+        self._watch.stalled(self._version_ref.version, read)
         self._transfer.on_failed(read, now=self._now())
         job = self._reads.pop(read, None)
         if job is not None:
             job.cancel()
 
-    async def _ask(self, host: str) -> None:
+    async def _query_inventory(self, host: str) -> None:
         address = self._address_of(host)
         try:
             if address is None:
                 raise PeerLostError('not a member', step='stock', peer=host)
-            reply = await self._peers.stock(address, self._asked)
+            reply = await self._peers.stock(address, self._version_ref)
         except CrowrudderError:
             self._transfer.on_silence(host, now=self._now())
             return
-        self._note_stock(reply)
+        self._apply_inventory(reply)
 
     async def _read(self, read: Read) -> None:
         try:
@@ -137,77 +137,79 @@
         try:
             answer = await self._peer_answer(read)
         except CrowrudderError as exc:
-            self._watch.failed(self._asked.version, read, exc)
+            self._watch.failed(self._version_ref.version, read, exc)
             self._transfer.on_failed(read, now=self._now())
             return
         if answer.stock is not None:
-            self._note_stock(answer.stock)
+            self._apply_inventory(answer.stock)
         if answer.refused:
             self._transfer.on_busy(read, now=self._now())
             return
-        self._take(read, answer.payload)
+        self._accept(read, answer.payload)
 
     async def _peer_answer(self, read: FromPeer) -> PeerAnswer:
         address = self._address_of(read.host)
         if address is None:
             raise PeerLostError('not a member', step='chunk', peer=read.host)
-        ask = ChunkAsk(
-            host=self._asked.host,
-            version=self._asked.version,
-            manifest=self._asked.manifest,
+        request = ChunkAsk(
+            host=self._version_ref.host,
+            version=self._version_ref.version,
+            manifest=self._version_ref.manifest,
             index=read.index,
             stock=self._own_stock(),
         )
 
         async def on_piece(size: int) -> None:
-            wait_s = self._take_link(read, size)
+            wait_s = self._reserve_link(read, size)
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
 
-        return await self._peers.chunk(address, ask, on_piece)
+        return await self._peers.chunk(address, request, on_piece)
 
     async def _from_origin(self, read: FromOrigin) -> None:
         self._watch.asked_origin(read)
         try:
             payload = await self._origin.chunk(
-                self._asked.version,
+                self._version_ref.version,
                 read.index,
-                lambda size: self._note_bytes(read, size),
+                lambda size: self._record_bytes(read, size),
             )
         except CrowrudderError as exc:
-            self._watch.failed(self._asked.version, read, exc)
+            self._watch.failed(self._version_ref.version, read, exc)
             self._transfer.on_failed(
                 read,
                 now=self._now(),
                 was_sent=not isinstance(exc, NoSourceError),
             )
             return
-        if not self._take(read, payload):
+        if not self._accept(read, payload):
             self._origin.distrust_store()
 
-    def _note_bytes(self, read: Read, size: int) -> None:
-        """Note bytes of the origin, whose own rate is the limit."""
-        self._take_link(read, size)
+    def _record_bytes(self, read: Read, size: int) -> None:
+        """Record received bytes of the origin, which limits its own rate."""
+        self._reserve_link(read, size)
 
-    def _take_link(self, read: Read, size: int) -> float:
-        """Note bytes that came; give how long the link is full."""
+    def _reserve_link(self, read: Read, size: int) -> float:
+        """Record received bytes; return how long the link is busy, in seconds."""
         self._transfer.on_moved(read, now=self._now(), size=size)
         return self._downlink.reserve(size, now=self._now())
 
-    def _take(self, read: Read, payload: bytes) -> bool:
+    def _accept(self, read: Read, payload: bytes) -> bool:
         try:
-            good = self._transfer.on_chunk(read, payload, now=self._now())
+            is_verified = self._transfer.on_chunk(
+                read, payload, now=self._now()
+            )
         except InvariantError as exc:
             self._watch.refused(exc)
             return False
-        if good:
+        if is_verified:
             self._watch.read(read, len(payload))
         elif not self._transfer.dropped:
-            self._watch.corrupted(self._asked.version, read)
-        return good
+            self._watch.corrupted(self._version_ref.version, read)
+        return is_verified
 
-    def _note_stock(self, reply: StockReply) -> None:
-        note_stock(self._transfer, reply, now=self._now())
+    def _apply_inventory(self, reply: StockReply) -> None:
+        apply_inventory(self._transfer, reply, now=self._now())
 
     def _spawn(self, call: Any) -> asyncio.Task[None]:
         job = asyncio.ensure_future(call)
@@ -217,7 +219,7 @@
 
     def _on_done(self, job: asyncio.Task[None]) -> None:
         self._jobs.discard(job)
-        self._woken.set()
+        self._wakeup.set()
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/packages/daemon/src/crowrudder_daemon/chunks/_shelf.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_shelf.py
@@ -1,4 +1,4 @@
-"""The versions that this host holds, whole or in part."""
+"""The versions that this host holds, complete or partial."""
 
 from __future__ import annotations
 
@@ -22,23 +22,22 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_daemon.settings import WeightsSection
 
-MOST_SPARE = 4
-"""Versions no longer wanted of which chunks are still given to others."""
+MAX_SPARE_VERSIONS = 4
+"""Number of unwanted versions whose chunks are still served to other hosts."""
 
 
 class Shelf:
-    """Transfers and manifests by version, over one bounded store.
+    """Holds transfers and manifests by version, over one bounded store.
 
-    The version before stays for others while there is room: a host that
-    joins late, or a fleet that goes back, then needs no origin.
+    The previous version is kept for other hosts while memory allows: a host
+    that joins late, or a fleet that rolls back, then does not need the origin.
 
     Parameters
     ----------
     host
-        The name by which other agents know this host; by default that of the
-        settings.
+        This host's name towards other agents; by default that of the settings.
     pace
-        What the transfers' pace has otherwise than by the sizes and the link.
+        Pacing settings that differ from those derived from sizes and the link.
     """
 
     def __init__(
@@ -61,14 +60,14 @@
         self._random = random.Random(runtime.incarnation)
 
     def manifest(self, version: str, declared: str) -> bytes:
-        """Give the bytes of a manifest of that digest, empty for none."""
+        """Return the bytes of the manifest of that digest, empty if unknown."""
         transfer = self.transfers.get(version)
         if transfer is None or transfer.manifest_digest != declared:
             return b''
         return self._manifests[version]
 
     def find(self, version: str, declared: str) -> Transfer | None:
-        """Give the transfer of exactly this version, if there is one."""
+        """Return the transfer of exactly this version, if there is one."""
         transfer = self.transfers.get(version)
         if transfer is None or transfer.manifest_digest != declared:
             return None
@@ -82,14 +81,14 @@
         copies: int,
         changes: Mapping[str, Any] | None = None,
     ) -> Transfer:
-        """Begin or go on with the weights of a manifest.
+        """Start or continue the transfer of a manifest's weights.
 
-        ``changes`` are those of the pace for this version alone.
+        ``changes`` are pacing settings for this version only.
 
         Raises
         ------
         NoRoomError
-            When it doesn't fit into the memory that the settings allow.
+            If it does not fit into the memory that the settings allow.
         """
         declared = artifact.manifest
         manifest = decode_manifest(payload, declared=declared, peer=self.host)
@@ -107,24 +106,24 @@
         self._manifests[manifest.version] = payload
         self.transfers.pop(manifest.version, None)
         self.transfers[manifest.version] = transfer
-        self._forget_oldest()
+        self._drop_oldest_spare()
         return transfer
 
     def drop_others(self, names: frozenset[str]) -> None:
-        """Give up what is on its way for others than the wanted weights.
+        """Drop incomplete transfers of all weights but the wanted ones.
 
-        Of a version that is whole the chunks are still given to others.
+        Chunks of complete versions are still served to other hosts.
         """
         self._names = names
         for name, transfer in self.transfers.items():
             if name not in names and not transfer.complete:
                 transfer.drop()
 
-    def _wanted(self, but: str) -> list[Manifest]:
+    def _wanted(self, excluded: str) -> list[Manifest]:
         return [
             transfer.manifest
             for name, transfer in self.transfers.items()
-            if name in self._names and name != but
+            if name in self._names and name != excluded
         ]
 
     def _begin(
@@ -146,9 +145,9 @@
             changes={**self._pace, **changes},
         )
 
-    def _forget_oldest(self) -> None:
-        """Drop the oldest of what is no longer wanted."""
+    def _drop_oldest_spare(self) -> None:
+        """Drop the oldest versions that are no longer wanted."""
         spare = [name for name in self.transfers if name not in self._names]
-        for name in spare[:-MOST_SPARE]:
+        for name in spare[:-MAX_SPARE_VERSIONS]:
             self.transfers.pop(name).drop()
             self._manifests.pop(name)
--- a/packages/daemon/src/crowrudder_daemon/chunks/_sources.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_sources.py
@@ -24,12 +24,12 @@
 
 
 class NoSourceError(CrowrudderError):
-    """A source surely sent nothing of the chunk."""
+    """The source certainly sent no bytes of the chunk."""
 
 
 @frozen
 class PeerAnswer:
-    """What a peer sent: the chunk, or that it was busy; and what it holds."""
+    """A peer's answer: the chunk or a refusal, and the peer's inventory."""
 
     payload: bytes
     stock: StockReply | None
@@ -38,7 +38,7 @@
 
 @frozen
 class Asked:
-    """A version as it is named towards other agents."""
+    """The identification of a version in requests to other agents."""
 
     host: str
     version: str
@@ -46,14 +46,14 @@
 
 
 class PeerSource:
-    """Weights from other agents."""
+    """Reads weights from other agents."""
 
     def __init__(self, peers: PeerClient) -> None:
         self._peers = peers
 
     async def stock(self, address: str, asked: Asked) -> StockReply:
-        """Ask what an agent holds."""
-        ask = StockAsk(
+        """Request an agent's inventory of a version."""
+        request = StockAsk(
             host=asked.host,
             version=asked.version,
             manifest=asked.manifest,
@@ -61,28 +61,28 @@
         return await self._peers.call(
             address,
             STOCK,
-            ask,
+            request,
             timeout_s=STOCK_TIMEOUT_S,
         )
 
     async def manifest(self, address: str, asked: Asked) -> bytes:
-        """Ask for a manifest; empty when the agent has none."""
-        ask = ManifestAsk(version=asked.version, manifest=asked.manifest)
-        reply = await self._peers.call(address, MANIFEST, ask)
+        """Request a manifest; empty if the agent does not have it."""
+        request = ManifestAsk(version=asked.version, manifest=asked.manifest)
+        reply = await self._peers.call(address, MANIFEST, request)
         return reply.payload
 
     async def chunk(
         self,
         address: str,
-        ask: ChunkAsk,
+        request: ChunkAsk,
         on_piece: Callable[[int], Awaitable[None]],
     ) -> PeerAnswer:
         """Read a chunk piece by piece.
 
-        ``on_piece`` gets the bytes of each piece, and holds up the next one
-        as long as the link has no room.
+        ``on_piece`` receives the size of each piece and delays the next one
+        while the link is busy.
         """
-        stream = self._peers.open(address, CHUNK, ask)
+        stream = self._peers.open(address, CHUNK, request)
         pieces: list[bytes] = []
         stock = None
         refused = False
@@ -98,7 +98,7 @@
 
 
 class ChunkOrigin(Protocol):
-    """Where chunks are read that no other agent has."""
+    """Source of chunks that no other agent has."""
 
     async def chunk(
         self,
@@ -106,7 +106,7 @@
         index: int,
         on_piece: Callable[[int], None],
     ) -> bytes:
-        """Read a chunk; ``on_piece`` gets the bytes of each piece."""
+        """Read a chunk; ``on_piece`` receives the size of each piece."""
 
     def distrust_store(self) -> None:
-        """Leave a copy of the origin alone that gave wrong bytes."""
+        """Stop reading from a store whose copy returned wrong bytes."""
--- a/packages/daemon/src/crowrudder_daemon/chunks/_stock.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_stock.py
@@ -1,4 +1,4 @@
-"""What agents tell each other of the chunks that they hold."""
+"""Chunk inventories that agents exchange."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @define
 class UploadSlots:
-    """Chunks that may be sent at the same time."""
+    """Limits the number of chunks that are sent concurrently."""
 
     total: int
     taken: int = 0
 
     def take(self) -> bool:
-        """Take a slot if one is free."""
+        """Acquire a slot; return whether one was free."""
         if self.taken >= self.total:
             return False
         self.taken += 1
         return True
 
     def release(self) -> None:
-        """Free a slot."""
+        """Release a slot."""
         if self.taken <= 0:
             raise InvariantError('a slot that nobody holds', step='upload')
         self.taken -= 1
@@ -37,15 +37,17 @@
 
 @define
 class EngineNote:
-    """What other agents are told of this host's engine."""
+    """State of this host's engine that is reported to other agents."""
 
     loaded: str = ''
     changing: bool = False
     wanted: frozenset[str] = frozenset()
 
 
-def note_stock(transfer: Transfer, reply: StockReply, *, now: float) -> None:
-    """Tell a transfer what another agent holds of its version."""
+def apply_inventory(
+    transfer: Transfer, reply: StockReply, *, now: float
+) -> None:
+    """Apply another agent's inventory to a transfer of the same version."""
     if reply.version != transfer.manifest.version:
         return
     stock = Stock(
@@ -59,7 +61,7 @@
     transfer.on_stock(stock, now=now)
 
 
-def stock_of(
+def build_inventory(
     host: str,
     version: str,
     transfer: Transfer | None,
@@ -67,7 +69,7 @@
     slots: UploadSlots,
     note: EngineNote,
 ) -> StockReply:
-    """Tell what this host holds of a version."""
+    """Return this host's inventory of a version."""
     held = passes = b''
     if transfer is not None:
         held = pack(transfer.at_hand, transfer.count)
--- a/packages/daemon/src/crowrudder_daemon/chunks/_uploads.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_uploads.py
@@ -1,11 +1,11 @@
-"""Serve chunks, manifests and the list of what is held to other agents."""
+"""Serve chunks, manifests and inventories to other agents."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import TYPE_CHECKING
 
-from crowrudder_daemon.chunks._stock import note_stock, stock_of
+from crowrudder_daemon.chunks._stock import apply_inventory, build_inventory
 from crowrudder_model.messages import (
     ChunkAsk,
     ChunkPiece,
@@ -25,21 +25,21 @@
     from crowrudder_daemon.rpc import PeerServer
 
 PIECE_BYTES = 256 * 1024
-"""Bytes of a chunk that go out at once, where the link is a fast one."""
+"""Largest piece of a chunk that is sent at once on a fast link."""
 
-PIECE_S = 0.025
-"""Longest time for which one piece takes the link.
+MAX_PIECE_S = 0.025
+"""Longest time that one piece occupies the link.
 
-An answer's event waits for the piece before it, and each piece wakes both
-processes. On a slow link (5 Mbit/s) a whole chunk of 48 KB would hold the event
-up by 80 ms; a piece is then some 16 KB.
+An event of an answer waits for the piece before it, and each piece wakes both
+processes. On a slow link (5 Mbit/s) a complete chunk of 48 KB would delay the
+event by 80 ms; a piece is then about 16 KB.
 """
 
-LEAST_PIECE_BYTES = 2048
+MIN_PIECE_BYTES = 2048
 
 
 class ChunkService:
-    """The calls by which other agents read weights from this one."""
+    """Serves the calls by which other agents read weights."""
 
     def __init__(
         self,
@@ -56,37 +56,37 @@
         self._on_sent = on_sent
 
     def serve(self, server: PeerServer) -> None:
-        """Add the calls to the server."""
+        """Register the calls with the server."""
         server.add(STOCK, self.on_stock)
         server.add(MANIFEST, self.on_manifest)
         server.add(CHUNK, self.on_chunk)
 
-    async def on_stock(self, ask: StockAsk, _context: object) -> StockReply:
-        """Tell what is held of a version."""
-        transfer = self._shelf.find(ask.version, ask.manifest)
-        return self.stock(ask.version, transfer)
+    async def on_stock(self, request: StockAsk, _context: object) -> StockReply:
+        """Return the inventory of a version."""
+        transfer = self._shelf.find(request.version, request.manifest)
+        return self.stock(request.version, transfer)
 
     async def on_manifest(
         self,
-        ask: ManifestAsk,
+        request: ManifestAsk,
         _context: object,
     ) -> ManifestReply:
-        """Give a manifest."""
-        payload = self._shelf.manifest(ask.version, ask.manifest)
+        """Return a manifest."""
+        payload = self._shelf.manifest(request.version, request.manifest)
         return ManifestReply(payload=payload)
 
     async def on_chunk(
         self,
-        ask: ChunkAsk,
+        request: ChunkAsk,
         _context: object,
     ) -> AsyncIterator[ChunkPiece]:
-        """Send a chunk; its slot is held until the last piece is out."""
-        transfer = self._shelf.find(ask.version, ask.manifest)
-        if transfer is not None and ask.stock is not None:
+        """Send a chunk; its slot is held until the last piece is sent."""
+        transfer = self._shelf.find(request.version, request.manifest)
+        if transfer is not None and request.stock is not None:
             now = asyncio.get_running_loop().time()
-            note_stock(transfer, ask.stock, now=now)
-        payload = transfer.chunk(ask.index) if transfer else None
-        stock = self.stock(ask.version, transfer)
+            apply_inventory(transfer, request.stock, now=now)
+        payload = transfer.chunk(request.index) if transfer else None
+        stock = self.stock(request.version, transfer)
         if payload is None:
             yield ChunkPiece(absent=True, stock=stock)
             return
@@ -104,10 +104,10 @@
         payload: bytes,
         stock: StockReply,
     ) -> AsyncIterator[ChunkPiece]:
-        """Cut a chunk into pieces, at the rate that the uplink has left.
+        """Yield a chunk in pieces, at the rate that the uplink allows.
 
-        The link is reserved for the whole chunk at once: one that isn't
-        taken off by its reader must not hold up those behind it.
+        The link is reserved for the complete chunk at once, so a slow reader
+        does not delay the chunks behind it.
         """
         yield ChunkPiece(stock=stock)
         loop = asyncio.get_running_loop()
@@ -123,8 +123,8 @@
         self._on_sent(len(payload))
 
     def stock(self, version: str, transfer: Transfer | None) -> StockReply:
-        """Tell what is held of a version."""
-        return stock_of(
+        """Return the inventory of a version."""
+        return build_inventory(
             self._shelf.host,
             version,
             transfer,
@@ -134,5 +134,5 @@
 
 
 def _piece_bytes(link_bytes_per_s: float) -> int:
-    fitting = int(PIECE_S * link_bytes_per_s)
-    return min(max(fitting, LEAST_PIECE_BYTES), PIECE_BYTES)
+    piece_bytes = int(MAX_PIECE_S * link_bytes_per_s)
+    return min(max(piece_bytes, MIN_PIECE_BYTES), PIECE_BYTES)
--- a/packages/daemon/src/crowrudder_daemon/chunks/_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_watch.py
@@ -1,4 +1,4 @@
-"""Metrics and log lines of the transfers."""
+"""Metrics and log lines of transfers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class WeightsWatch:
-    """Counts what happens to reads, and says what went wrong."""
+    """Counts the outcomes of reads and logs failures."""
 
     def __init__(self, runtime: Runtime, shelf: Shelf) -> None:
         metrics = runtime.metrics
@@ -61,41 +61,43 @@
         metrics.gauges(
             'weights_left_seconds',
             'Estimated seconds to the last chunk of a version.',
-            self._ends,
+            self._remaining,
         )
 
     def asked_origin(self, read: FromOrigin) -> None:
-        """Count a read that begins at the origin."""
+        """Count a read that starts at the origin."""
         self._origin_reads.add(reason=read.reason.value)
 
     def read(self, read: Read, size: int) -> None:
-        """Count a good chunk."""
-        self._bytes.add(size, source=_kind(read))
+        """Count the bytes of a verified chunk."""
+        self._bytes.add(size, source=_source_kind(read))
 
     def sent(self, size: int) -> None:
-        """Count bytes that went out."""
+        """Count bytes sent to other agents."""
         self._sent.add(size)
 
     def failed(self, version: str, read: Read, exc: CrowrudderError) -> None:
-        """Note a read that failed."""
-        self._lost.add(source=_kind(read), reason='failed')
+        """Count and log a failed read."""
+        self._lost.add(source=_source_kind(read), reason='failed')
         self._log.info(
             'chunk not read',
-            extra={**_fields(version, read), 'reason': str(exc)},
+            extra={**_log_fields(version, read), 'reason': str(exc)},
         )
 
     def stalled(self, version: str, read: Read) -> None:
-        """Note a read without a byte for too long."""
-        self._lost.add(source=_kind(read), reason='stalled')
-        self._log.warning('chunk stalls', extra=_fields(version, read))
+        """Count and log a read that received no bytes for too long."""
+        self._lost.add(source=_source_kind(read), reason='stalled')
+        self._log.warning(
+            'chunk read stalled', extra=_log_fields(version, read)
+        )
 
     def corrupted(self, version: str, read: Read) -> None:
-        """Note a chunk with another digest."""
-        self._lost.add(source=_kind(read), reason='corrupted')
-        self._log.warning('chunk came corrupted', extra=_fields(version, read))
+        """Count and log a chunk with a wrong digest."""
+        self._lost.add(source=_source_kind(read), reason='corrupted')
+        self._log.warning('chunk corrupted', extra=_log_fields(version, read))
 
     def refused(self, exc: CrowrudderError) -> None:
-        """Note an unsafe act that an invariant refused."""
+        """Count and log an unsafe operation that an invariant refused."""
         self._metrics.invariant_violated(f'weights_{exc.step}')
         self._log.error('refused: %s', exc)
 
@@ -112,20 +114,20 @@
             for name, transfer in self._shelf.transfers.items()
         ]
 
-    def _ends(self) -> list[tuple[Mapping[str, str], float]]:
+    def _remaining(self) -> list[tuple[Mapping[str, str], float]]:
         now = time.monotonic()
-        ends = {
+        remaining = {
             name: transfer.progress.left_s(now)
             for name, transfer in self._shelf.transfers.items()
         }
         return [
             ({'version': name}, left_s)
-            for name, left_s in ends.items()
+            for name, left_s in remaining.items()
             if left_s is not None
         ]
 
 
-def _kind(read: Read) -> str:
+def _source_kind(read: Read) -> str:
     match read:
         case FromPeer():
             return 'peer'
@@ -133,8 +135,8 @@
             return 'origin'
 
 
-def _fields(version: str, read: Read) -> dict[str, Any]:
-    """Give what a line says of a read."""
+def _log_fields(version: str, read: Read) -> dict[str, Any]:
+    """Return the log fields of a read."""
     source = read.host if isinstance(read, FromPeer) else 'the origin'
     return {
         'step': 'chunk',
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent of a fleet: keeps the engine beside it at the named version."""
+"""Fleet agent: keeps the local engine at the published weights version."""
 
 from crowrudder_daemon.fleet_agent._role import FleetAgent, build_fleet_agent
 
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_active_transfer.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_active_transfer.py
@@ -1,4 +1,4 @@
-"""A version that is being read, and whether its chunks still come."""
+"""A version that is being fetched, and whether chunks still arrive."""
 
 from __future__ import annotations
 
@@ -13,29 +13,30 @@
     from crowrudder_daemon.fleet_agent._digests import Named
     from crowrudder_daemon.fleet_agent._goal import Goal
 
-STARVED_S = 0.8
-"""Without a chunk of the newest version for so long, the one before is read as
-well: its source may be away, and nothing may begin on the loaded one soon."""
+STALL_TIMEOUT_S = 0.8
+"""If no chunk of the newest version arrives for this long, the previous version
+is fetched as well: the source of the newest may be down, and the loaded version
+may expire soon."""
 
 
 @define(eq=False)
-class Collecting:
-    """A version that is being read, and when its last chunk came."""
+class ActiveTransfer:
+    """A version that is being fetched, and when its last chunk arrived."""
 
     goal: Goal
     named: Named
     transfer: Transfer
-    held: int = -1
-    fed_at: float = 0
+    held_count: int = -1
+    last_chunk_at: float = 0
 
-    def look(self) -> None:
-        """Note whether chunks came."""
+    def check_progress(self) -> None:
+        """Record whether chunks arrived since the last call."""
         count = self.transfer.held.bit_count()
-        if count != self.held:
-            self.held = count
-            self.fed_at = clock_s()
+        if count != self.held_count:
+            self.held_count = count
+            self.last_chunk_at = clock_s()
 
     @property
-    def is_starved(self) -> bool:
-        """Whether no chunk came for a while."""
-        return clock_s() - self.fed_at > STARVED_S
+    def is_stalled(self) -> bool:
+        """Whether no chunk arrived within the stall timeout."""
+        return clock_s() - self.last_chunk_at > STALL_TIMEOUT_S
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_digests.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_digests.py
@@ -1,4 +1,4 @@
-"""Get the digests of a version, and make the product's manifest of them."""
+"""Read the chunk digests of a version and build its manifest."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
         WeightsOriginPort,
     )
 
-AGREEING = 2
-"""Reads that must give the same digests: the origin may hand out wrong bytes,
-and with one wrong digest a version would never be whole."""
+MIN_AGREEING_READS = 2
+"""Number of reads that must return the same digests. The origin may return wrong
+bytes, and with one wrong digest a version would never be complete."""
 
-MOST_READS = 6
+MAX_READS = 6
 PAUSE_S = 0.1
 _DIGEST_DIGITS = 64
 
 
 @frozen
 class Named:
-    """A manifest's bytes under the name that other agents know it by."""
+    """An encoded manifest and the artifact name that other agents use for it."""
 
     artifact: Artifact
     payload: bytes
@@ -41,7 +41,7 @@
 
 
 def version_name(model: str, version: int) -> str:
-    """Name a version of a model's weights among agents.
+    """Return the name that agents use for a version of a model's weights.
 
     >>> version_name('m', 3)
     'm@3'
@@ -49,8 +49,8 @@
     return f'{model}@{version}'
 
 
-def named_manifest(digests: ChunkDigests) -> Named:
-    """Make the manifest; the same digests give the same bytes everywhere."""
+def build_manifest(digests: ChunkDigests) -> Named:
+    """Build the manifest; equal digests give equal bytes on every host."""
     payload = msgspec.json.encode(
         Manifest(
             version=version_name(digests.model, digests.version),
@@ -66,12 +66,12 @@
 
 
 class DigestReader:
-    """Reads manifests from the origin, or from an agent that has one.
+    """Reads manifests from the origin or from another agent.
 
     Parameters
     ----------
     origin_address
-        Gives the origin's address, empty while it isn't known.
+        Returns the origin's address, empty while it is unknown.
     """
 
     def __init__(
@@ -87,27 +87,27 @@
         self._origin_address = origin_address
 
     async def from_origin(self, model: str, version: int) -> Named:
-        """Read from the origin until two reads agree.
+        """Read from the origin until enough reads agree.
 
         ``version`` 0 stands for the newest.
 
         Raises
         ------
         UpstreamError
-            When they don't within a few reads.
+            If they do not agree within the maximum number of reads.
         """
-        seen: dict[ChunkDigests, int] = {}
+        counts: dict[ChunkDigests, int] = {}
         last: Exception | None = None
-        for _ in range(MOST_READS):
+        for _ in range(MAX_READS):
             try:
                 digests = await self._read(model, version)
             except UpstreamError as exc:
                 last = exc
                 await asyncio.sleep(PAUSE_S)
                 continue
-            seen[digests] = seen.get(digests, 0) + 1
-            if seen[digests] >= AGREEING:
-                return named_manifest(digests)
+            counts[digests] = counts.get(digests, 0) + 1
+            if counts[digests] >= MIN_AGREEING_READS:
+                return build_manifest(digests)
         raise UpstreamError(
             f'no two reads of the digests agree: {last}',
             step='digests',
@@ -115,7 +115,7 @@
         )
 
     async def from_peer(self, address: str, artifact: Artifact) -> Named | None:
-        """Read from an agent; None where it has none of that digest."""
+        """Read from an agent; None if it has no manifest of that digest."""
         asked = Asked(self._host, artifact.name, artifact.manifest)
         try:
             payload = await self._peers.manifest(address, asked)
@@ -132,14 +132,16 @@
         else:
             digests = await self._origin.digests(address, model)
         wrong_version = version not in {0, digests.version}
-        if wrong_version or not _is_sound(digests, model):
+        if wrong_version or not _is_valid(digests, model):
             raise UpstreamError(
-                'not the digests asked for', step='digests', peer=address
+                'not the digests asked for',
+                step='digests',
+                peer=address,
             )
         return digests
 
 
-def _is_sound(digests: ChunkDigests, model: str) -> bool:
+def _is_valid(digests: ChunkDigests, model: str) -> bool:
     lengths = {len(digest) for digest in digests.digests}
     return (
         digests.model == model
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_end_guard.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_end_guard.py
@@ -1,4 +1,4 @@
-"""Keep the engine from beginning anything on a version that has ended."""
+"""Prevent the engine from starting requests on an expired version."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon._ticks import until_tick_s
 from crowrudder_daemon.fleet_agent._digests import version_name
-from crowrudder_daemon.fleet_agent._goal import LEAST_USE_S, figures_of
-from crowrudder_daemon.fleet_agent._loader import CLOSING_S, Load
+from crowrudder_daemon.fleet_agent._goal import MIN_USE_S, figures_of
+from crowrudder_daemon.fleet_agent._loader import CLOSE_LEAD_S, Load
 from crowrudder_model import CrowrudderError
 from crowrudder_model.fleet import LayerRange
 
@@ -26,20 +26,19 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.fleet import EngineFigures, Node
 
-LOOK_S = 0.05
-"""How often the end is looked at once it is near; the engine is read twice as
-seldom."""
+CHECK_INTERVAL_S = 0.05
+"""Interval of checks when the end is near; the engine is read half as often."""
 
-LONGEST_LOOK_S = 0.2
-"""How often it is looked at otherwise: a version is named seconds before the
-one before it ends, and looks cost an agent at rest the most after its reads."""
+MAX_CHECK_INTERVAL_S = 0.2
+"""Interval of checks otherwise. A version is published seconds before the previous
+one ends, and in an idle agent only reads of the engine cost more than checks."""
 
 RETRY_S = 0.2
 
 
 @frozen
-class _Closing:
-    """The load that ends an old version: what is at hand of a newer one."""
+class _ClosingLoad:
+    """A load that replaces an expiring version by held layers of a newer one."""
 
     load: Load
     transfer: Transfer
@@ -47,17 +46,16 @@
 
 
 class EndGuard:
-    """Orders a load just before the engine's version ends, if none has come.
-
-    What goes wrong without it: entries send requests in time, these wait in
-    the engine's queue past the end of its version, and what takes them back
-    comes over a link that is full of other bytes. It is seen as requests that
-    begin on an old version after its end: 48 in one run in which a large
-    configuration changed as a version ended. The engine accepts nothing new,
-    out of its queue either, once it has taken an order to load, and tells
-    those that wait that they have not run. The order comes from the same
-    host, so no link lies in between, and any layers of a newer version will
-    do. What runs may end.
+    """Orders a load just before the engine's version ends, if none was ordered.
+
+    Without it, requests that entries sent in time wait in the engine's queue
+    past the end of its version, and their cancellations are delayed on a
+    congested link, so the requests start on an expired version: 48 in one run
+    in which a large configuration changed as a version ended. Once the engine
+    has accepted a load order it starts no further requests, queued ones
+    included, and answers the queued ones as not executed. The order comes
+    from the same host, so no network link is involved, and any layers of a
+    newer version suffice. Running requests may finish.
     """
 
     def __init__(
@@ -76,15 +74,15 @@
         self._watch = watch
         self._library = library
         self._loader = loader
-        self._open_ended = 0
+        self._warned_version = 0
         self._changed = asyncio.Event()
 
     def on_change(self) -> None:
-        """Look at once: a version may have ended before it was heard of."""
+        """Check immediately: a version may have ended before the update arrived."""
         self._changed.set()
 
     async def guard(self) -> None:
-        """Look at the end again and again."""
+        """Check periodically whether the loaded version is about to end."""
         while True:
             await self._pause()
             figures = figures_of(self._view, self._node)
@@ -93,12 +91,12 @@
             try:
                 await self._close(figures)
             except Exception:
-                # A fault must not leave the engine unguarded from then on.
+                # An exception must not stop this task and leave the engine unguarded.
                 self._runtime.log.exception('end guard', extra={'step': 'end'})
                 await asyncio.sleep(RETRY_S)
 
     async def _pause(self) -> None:
-        """Wait for a change of the records, or until the next look."""
+        """Wait for a change of the records or until the next check."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._pause_s()):
                 await self._changed.wait()
@@ -107,26 +105,26 @@
     def _pause_s(self) -> float:
         figures = figures_of(self._view, self._node)
         if figures is None:
-            return until_tick_s(LONGEST_LOOK_S)
+            return until_tick_s(MAX_CHECK_INTERVAL_S)
         left_s = self._closes_at(figures.model) - clock_s()
-        if left_s > LONGEST_LOOK_S:
-            return until_tick_s(LONGEST_LOOK_S)
-        return max(left_s, LOOK_S)
+        if left_s > MAX_CHECK_INTERVAL_S:
+            return until_tick_s(MAX_CHECK_INTERVAL_S)
+        return max(left_s, CHECK_INTERVAL_S)
 
     def _closes_at(self, model: str) -> float:
         ends_at = self._view.releases.ends_at(model, self._watch.whole)
-        return ends_at - CLOSING_S
+        return ends_at - CLOSE_LEAD_S
 
     def _is_due(self, model: str) -> bool:
         reading = self._watch.reading
-        if reading is None or reading.is_busy or self._loader.is_at_work:
+        if reading is None or reading.is_busy or self._loader.is_loading:
             return False
         return bool(self._watch.whole) and clock_s() >= self._closes_at(model)
 
     async def _close(self, figures: EngineFigures) -> None:
-        closing = self._closing(figures)
+        closing = self._choose_closing_load(figures)
         if closing is None:
-            self._note_open_ended()
+            self._warn_no_replacement()
             return
         reading = self._watch.reading
         self._runtime.log.info(
@@ -151,54 +149,59 @@
             )
             await asyncio.sleep(RETRY_S)
 
-    def _closing(self, figures: EngineFigures) -> _Closing | None:
-        """Find layers at hand of the version that can serve first.
-
-        What goes wrong with the newest one: its source is away after a few
-        chunks, and the version before, which the host holds or soon will, is
-        never loaded over them; the engine serves nothing until the newest one
-        is whole. So the one of which most is at hand goes first, the newest
-        of several, and one that ends soon goes last.
+    def _choose_closing_load(
+        self, figures: EngineFigures
+    ) -> _ClosingLoad | None:
+        """Choose held layers of the version that can serve first.
+
+        Always choosing the newest version fails if its source goes down after
+        a few chunks: the previous version, which the host holds or soon will,
+        is never loaded over a newer one, so the engine serves nothing until
+        the newest is complete. Therefore the version with the most held
+        chunks is preferred, among equals the newest, and versions that end
+        soon come last.
         """
         releases = self._view.releases
-        found = [
+        candidates = [
             closing
             for release in releases.after(figures.model, self._watch.whole)
-            if (closing := self._closing_by(figures, release.version))
+            if (closing := self._closing_load_of(figures, release.version))
         ]
         now = clock_s()
         lasting = [
             closing
-            for closing in found
+            for closing in candidates
             if releases.ends_at(figures.model, closing.load.version) - now
-            >= LEAST_USE_S
+            >= MIN_USE_S
         ]
         return max(
-            lasting or found,
+            lasting or candidates,
             key=lambda closing: closing.transfer.at_hand.bit_count(),
             default=None,
         )
 
-    def _closing_by(
+    def _closing_load_of(
         self, figures: EngineFigures, version: int
-    ) -> _Closing | None:
+    ) -> _ClosingLoad | None:
         name = version_name(figures.model, version)
         transfer = self._library.shelf.transfers.get(name)
         if transfer is None:
             return None
-        layers = self._layers(figures, name, transfer)
+        layers = self._loadable_layers(figures, name, transfer)
         if not layers:
             return None
         chunks = chunks_of(layers, layers=figures.layers, chunks=transfer.count)
-        return _Closing(Load(figures.model, version, chunks), transfer, layers)
+        return _ClosingLoad(
+            Load(figures.model, version, chunks), transfer, layers
+        )
 
-    def _layers(
+    def _loadable_layers(
         self, figures: EngineFigures, name: str, transfer: Transfer
     ) -> LayerRange:
-        """Give all layers, else those of the host's own part, else others.
+        """Return all layers, else held layers of the host's own range, else others.
 
-        Own ones first: paths are made of the parts that hosts divided among
-        themselves, and the rest of the part can be added.
+        Layers of the own range come first: pipelines are built from the ranges
+        assigned to hosts, and the rest of the range can be added later.
         """
         held = transfer.at_hand
         if held == full(transfer.count):
@@ -209,12 +212,12 @@
             held, **counts
         )
 
-    def _note_open_ended(self) -> None:
-        """Say once that a version has ended and nothing can take its place."""
+    def _warn_no_replacement(self) -> None:
+        """Log once per version that it ended and nothing can replace it."""
         whole = self._watch.whole
-        if self._open_ended == whole:
+        if self._warned_version == whole:
             return
-        self._open_ended = whole
+        self._warned_version = whole
         self._runtime.log.warning(
             'nothing at hand of a newer version',
             extra={'step': 'end', 'weights': whole},
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_engine_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_engine_watch.py
@@ -1,4 +1,4 @@
-"""Read the engine beside the agent, and tell the entries what it does."""
+"""Poll the local engine and send load reports to the entries."""
 
 from __future__ import annotations
 
@@ -24,49 +24,52 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.fleet import Node
 
-READ_EVERY_S = 0.1
-"""A read of the own engine is free; entries forecast by its age."""
+READ_INTERVAL_S = 0.1
+"""Interval of reads. A read of the local engine is cheap, and entries forecast by
+the age of the last one."""
 
-REPEAT_S = 0.4
-"""A word that stays the same is repeated, as datagrams get lost."""
+RESEND_INTERVAL_S = 0.4
+"""Interval at which an unchanged report is sent again, as datagrams get lost."""
 
-MOST_FAILURES = 2
-"""Reads in a row without an answer, after which it counts as unreachable."""
+MAX_READ_FAILURES = 2
+"""Consecutive failed reads after which the engine counts as unreachable."""
 
 
 @define
-class _Audience:
-    """Entries that are told the load, and what they were told last.
+class _Recipients:
+    """A group of entries that receive load reports, and the last report sent.
 
-    All hear at once what decides whether they may send here at all. Those of
-    other regions hear the rest through entries of this region. Of this region
-    a few are close, and hear of every change; the others, ``only_repeats``,
-    no more often than a word is repeated.
+    All entries receive at once what decides whether they may send here at all.
+    Entries of other regions receive the rest through entries of this region.
+    In this region a few close entries receive every change; the others,
+    ``only_repeats``, receive reports at the resend interval only.
     """
 
     only_urgent: bool = False
     only_repeats: bool = False
-    told: EngineLoad | None = None
-    told_at: float = 0.0
+    last_sent: EngineLoad | None = None
+    last_sent_at: float = 0.0
 
-    def take(self, load: EngineLoad, now: float) -> bool:
-        """Give whether they are to be told now, and note that they are."""
+    def mark_if_due(self, load: EngineLoad, now: float) -> bool:
+        """Return whether a report is due now; if so, record it as sent."""
         if not self._is_due(load, now):
             return False
-        self.told, self.told_at = load, now
+        self.last_sent, self.last_sent_at = load, now
         return True
 
     def _is_due(self, load: EngineLoad, now: float) -> bool:
-        if self.told is None or _urgent_part(load) != _urgent_part(self.told):
+        if self.last_sent is None or _urgent_fields(load) != _urgent_fields(
+            self.last_sent
+        ):
             return True
         if self.only_urgent:
             return False
-        if now - self.told_at >= REPEAT_S:
+        if now - self.last_sent_at >= RESEND_INTERVAL_S:
             return True
-        return load != self.told and not self.only_repeats
+        return load != self.last_sent and not self.only_repeats
 
 
-def _urgent_part(load: EngineLoad) -> tuple[bool, int, bool, int, int]:
+def _urgent_fields(load: EngineLoad) -> tuple[bool, int, bool, int, int]:
     return (
         load.reachable,
         load.weights,
@@ -77,14 +80,14 @@
 
 
 class EngineWatch:
-    """Owns the reads of the engine; the last one is `reading`.
+    """Polls the engine; the last result is `reading`.
 
     Parameters
     ----------
     layers
-        Gives the layers of the engine's model; 0 while unknown.
+        Returns the number of layers of the engine's model; 0 while unknown.
     on_running
-        Told after each read how many requests run there.
+        Called after each read with the number of running requests.
     """
 
     def __init__(
@@ -98,71 +101,71 @@
         on_running: Callable[[int], None],
     ) -> None:
         self._layers = layers
-        self._extends = False
+        self._is_extending = False
         self._runtime = runtime
         self._node = node
         self._engine = engine
         self._peers = peers
         self._failures = 0
         self._is_changing = False
-        self._close = _Audience()
-        self._near = _Audience(only_repeats=True)
-        self._far = _Audience(only_urgent=True)
+        self._close = _Recipients()
+        self._near = _Recipients(only_repeats=True)
+        self._far = _Recipients(only_urgent=True)
         self._changed = asyncio.Event()
         self._on_running = on_running
         self.reading: EngineReading | None = None
-        self._lost = runtime.metrics.counter(
+        self._lost_reads = runtime.metrics.counter(
             'engine_reads_lost',
             'Reads of the engine without a proper answer.',
         )
 
     async def watch(self) -> None:
-        """Read again and again."""
+        """Read the engine periodically."""
         while True:
             await self.read_now()
-            await sleep_to_tick(READ_EVERY_S)
+            await sleep_to_tick(READ_INTERVAL_S)
 
     async def read_now(self) -> EngineReading | None:
-        """Read once and tell the entries of what changed."""
+        """Read once and send changes to the entries."""
         try:
             reading = await self._engine.read()
         except UpstreamError as exc:
-            self._on_lost(exc)
+            self._on_read_failure(exc)
         else:
             self._on_read(reading)
         self._on_running(self.reading.running if self.reading else 0)
-        self._tell()
+        self._send_load()
         return self.reading
 
     def set_changing(self, *, is_changing: bool) -> None:
-        """Say whether requests should stay away because of a load."""
+        """Set whether entries should send no requests because of a load."""
         self._is_changing = is_changing
-        self._tell()
+        self._send_load()
 
     def set_extending(self, *, is_extending: bool) -> None:
-        """Say whether an order under way only adds layers beside the work."""
-        self._extends = is_extending
-        self._tell()
+        """Set whether the current order only adds layers while requests run."""
+        self._is_extending = is_extending
+        self._send_load()
 
     @property
     def layers(self) -> int:
-        """Layers of the engine's model; 0 while unknown."""
+        """Number of layers of the engine's model; 0 while unknown."""
         return self._layers()
 
     @property
     def whole(self) -> int:
-        """The version that the engine holds whole; 0 for none."""
+        """The version that the engine holds completely; 0 for none."""
         return self.reading.whole(self._layers()) if self.reading else 0
 
     async def until_changed(self) -> None:
-        """Wait until another version is loaded than before."""
+        """Wait until the engine holds other weights, restarts or is lost."""
         self._changed.clear()
         await self._changed.wait()
 
-    def _on_lost(self, exc: UpstreamError) -> None:
-        self._lost.add()
+    def _on_read_failure(self, exc: UpstreamError) -> None:
+        self._lost_reads.add()
         self._failures += 1
-        if self._failures != MOST_FAILURES:
+        if self._failures != MAX_READ_FAILURES:
             return
         self.reading = None
         self._changed.set()
@@ -180,7 +183,7 @@
                 'engine started again',
                 extra={'step': 'engine', 'weights': reading.weights},
             )
-        if before is None or _held(before) != _held(reading):
+        if before is None or _held_layers(before) != _held_layers(reading):
             self._changed.set()
             self._runtime.log.info(
                 'engine read',
@@ -192,28 +195,28 @@
                 },
             )
 
-    def _tell(self) -> None:
-        """Tell the entries what changed, and now and then what didn't."""
-        load = self._load()
+    def _send_load(self) -> None:
+        """Send the load report to all entries for which it is due."""
+        load = self._load_report()
         now = clock_s()
         near, far = self._peers.entry_ips()
         if not near:
-            # Nobody would pass its words on.
+            # No entry of this region would forward the reports.
             near, far = far, []
         close, others = close_entries(self._node.ip, near)
-        if close and self._close.take(load, now):
+        if close and self._close.mark_if_due(load, now):
             self._peers.tell(replace(load, is_close=True), close)
-        for audience, ips in ((self._near, others), (self._far, far)):
-            if ips and audience.take(load, now):
+        for recipients, ips in ((self._near, others), (self._far, far)):
+            if ips and recipients.mark_if_due(load, now):
                 self._peers.tell(load, ips)
 
-    def _load(self) -> EngineLoad:
+    def _load_report(self) -> EngineLoad:
         reading = self.reading
         if reading is None:
             return EngineLoad(address=self._node.upstream, reachable=False)
         whole = self.whole
         part = NO_LAYERS if whole else reading.layers
-        is_loading = reading.is_busy and not self._extends
+        is_loading = reading.is_busy and not self._is_extending
         return EngineLoad(
             address=self._node.upstream,
             reachable=True,
@@ -230,5 +233,5 @@
         )
 
 
-def _held(reading: EngineReading) -> tuple[int, LayerRange]:
+def _held_layers(reading: EngineReading) -> tuple[int, LayerRange]:
     return reading.weights, reading.layers
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_goal.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_goal.py
@@ -1,4 +1,4 @@
-"""Which version an engine is to have."""
+"""Which weights version an engine should hold."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     from crowrudder_core.catalog import FleetView
     from crowrudder_model.fleet import EngineFigures, Node
 
-LEAST_USE_S = 1.5
-"""A version is loaded only if requests may begin on it for so long."""
+MIN_USE_S = 1.5
+"""A version is loaded only if requests may start on it for at least this long."""
 
 
 @frozen
 class Goal:
-    """A version for the engine; 0 for the newest that the origin has.
+    """The version that the engine should hold; 0 for the origin's newest.
 
-    ``newest`` is the newest that was named when the goal was set: the goal is
-    given up once a newer one than that is named.
+    ``newest`` is the newest version published when the goal was set: the goal
+    is abandoned once a newer one is published.
     """
 
     model: str
@@ -29,13 +29,13 @@
 
 
 def model_of(view: FleetView, node: Node) -> str:
-    """Give the model that the node's engine serves; empty while unknown."""
+    """Return the model that the node's engine serves; empty while unknown."""
     figures = figures_of(view, node)
     return figures.model if figures else ''
 
 
 def newest_goal(view: FleetView, node: Node, *, now: float) -> Goal | None:
-    """Give the goal; None while the model isn't known."""
+    """Return the goal; None while the model is unknown."""
     model = model_of(view, node)
     if not model:
         return None
@@ -45,38 +45,39 @@
     return Goal(model, release.version, release.published_at, release.version)
 
 
-def is_of_use(
+def is_worth_loading(
     version: int, *, whole: int, held: int, ends_at: float, now: float
 ) -> bool:
-    """Whether an engine gains by a version that its host has collected.
+    """Return whether an engine benefits from loading a version its host holds.
 
-    What goes wrong when only the loaded version counts: the newest one is
-    collected, a part of it is loaded and serves on paths; the one before is
-    whole at last and is loaded over it, though nothing may begin on it any
-    more. It is seen as engines that load a version after its end, and as a
-    token made of two versions, on a path that went by the part.
+    Comparing with the completely loaded version alone is wrong: while the
+    newest version is partially loaded and serves in pipelines, the previous
+    one becomes complete and would be loaded over it, though no request may
+    start on it any more. Engines would load a version after its end, and a
+    pipeline that relies on the partial version would compute a token with two
+    versions.
 
     Parameters
     ----------
     whole, held
-        The version that the engine holds whole, and that of any of its
-        layers; 0 for none.
+        The version that the engine holds completely, and the version of any
+        layers it holds; 0 for none.
     ends_at
-        From when nothing may begin on the version, on the clock of ``now``.
+        From when no request may start on the version, on the clock of ``now``.
     """
     if whole >= version or held > version:
         return False
-    return ends_at - now >= LEAST_USE_S
+    return ends_at - now >= MIN_USE_S
 
 
 def figures_of(view: FleetView, node: Node) -> EngineFigures | None:
-    """Give the figures of the node's engine; None while they aren't known."""
+    """Return the figures of the node's engine; None while unknown."""
     service = view.config.service(node.service) if view.config else None
     return service.engine if service else None
 
 
 def may_cut_off(view: FleetView, node: Node) -> bool:
-    """Whether all that may run at the engine can go on at another one."""
+    """Return whether every request of the engine can be resumed elsewhere."""
     routes = view.config.routes if view.config else ()
     return all(
         route.repeatable
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_keeper.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_keeper.py
@@ -1,4 +1,4 @@
-"""The task that keeps the engine at the version that was named."""
+"""The task that keeps the engine at the published version."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon._ticks import until_tick_s
-from crowrudder_daemon.fleet_agent._active_transfer import Collecting
+from crowrudder_daemon.fleet_agent._active_transfer import ActiveTransfer
 from crowrudder_daemon.fleet_agent._goal import (
-    LEAST_USE_S,
+    MIN_USE_S,
     Goal,
     newest_goal,
 )
@@ -32,14 +32,15 @@
 
 RETRY_S = 0.2
 IDLE_S = 0.2
-LOOK_S = 0.08
-MOST_ABLE = 0.5
-"""Engines load parts while requests may begin at less than this share of them:
-with more, those that serve are better off without hosts that lag behind."""
+CHECK_INTERVAL_S = 0.08
+MAX_SERVING_SHARE = 0.5
+"""Engines load partial versions only while requests may start at less than this
+share of the engines. Above it, hosts that lag behind would only slow down the
+engines that serve."""
 
 
 class WeightsKeeper:
-    """Pursues the newest named version, and the one before where that stalls."""
+    """Fetches and loads the newest version, or the previous one if that stalls."""
 
     def __init__(
         self,
@@ -59,25 +60,25 @@
         self._engine = engine
         self._library = library
         self._loader = loader
-        self._hinders = ''
-        self._has_looked = False
+        self._blocking_reason = ''
+        self._has_imported_staged = False
         self._changed = asyncio.Event()
 
     def on_change(self) -> None:
-        """Look at once, as the published records have changed.
+        """Check immediately, as the published records have changed.
 
-        A version that is noticed a quarter of a second late is that much
-        later on every host: the first reads its manifest for all.
+        The first host reads the manifest for all, so if it notices a version
+        a quarter of a second late, every host is that much later.
         """
         self._changed.set()
 
     @property
-    def hinders(self) -> str:
-        """What keeps the engine from the named version; empty for none."""
-        return self._hinders
+    def blocking_reason(self) -> str:
+        """Why the engine lacks the published version; empty if it has it."""
+        return self._blocking_reason
 
     async def keep(self) -> None:
-        """Pursue the goal for ever."""
+        """Reconcile the engine with the goal until cancelled."""
         while True:
             goal = newest_goal(self._view, self._node, now=clock_s())
             if goal is None or self._watch.reading is None:
@@ -86,15 +87,15 @@
             try:
                 await self._pursue(goal)
             except CrowrudderError as exc:
-                self._on_hindrance(exc)
+                self._on_failure(exc)
                 await asyncio.sleep(RETRY_S)
 
     def status(self) -> dict[str, Any]:
-        """Tell how far the versions are."""
+        """Return the goal and the progress of the versions."""
         goal = newest_goal(self._view, self._node, now=clock_s())
         return {
             'goal': goal.version if goal else 0,
-            'hinders': self._hinders,
+            'hinders': self._blocking_reason,
             'shares': {
                 name: round(transfer.share, 3)
                 for name, transfer in self._library.shelf.transfers.items()
@@ -102,45 +103,49 @@
         }
 
     async def _pursue(self, goal: Goal) -> None:
-        """Go one round: collect what the goal needs, then load it."""
-        goal, named = await self._reachable(goal)
+        """Run one round: fetch what the goal needs, then load it."""
+        goal, named = await self._reachable_goal(goal)
         if self._is_outdated(goal):
-            # Named while the manifest was waited for: nothing is begun with.
+            # A newer version was published during the wait for the manifest.
             return
         (transfer,) = self._library.open(named)
-        if not (transfer.complete or self._has_looked):
-            # Once in a life: what is staged later is held here as well.
-            await self._library.take_staged(self._engine, goal.model, transfer)
-            self._has_looked = True
-        ahead = asyncio.ensure_future(self._begin_ahead(goal, named, transfer))
+        if not (transfer.complete or self._has_imported_staged):
+            # Once per process: chunks staged later are held here as well.
+            await self._library.import_staged(
+                self._engine, goal.model, transfer
+            )
+            self._has_imported_staged = True
+        prefetch = asyncio.ensure_future(
+            self._prefetch_newest(goal, named, transfer)
+        )
         try:
-            await self._bring(goal, named, transfer)
+            await self._fetch_and_load(goal, named, transfer)
         finally:
-            ahead.cancel()
+            prefetch.cancel()
 
-    async def _bring(
+    async def _fetch_and_load(
         self, goal: Goal, named: Named, transfer: Transfer
     ) -> None:
-        """Collect a version, and load it if the engine gains by it."""
+        """Fetch a version, and load it if the engine does not have it yet."""
         if not transfer.complete:
-            await self._collect(Collecting(goal, named, transfer))
+            await self._collect(ActiveTransfer(goal, named, transfer))
         if not transfer.complete or self._is_outdated(goal):
             return
-        if self._loaded < named.version:
+        if self._loaded_version < named.version:
             await self._load(goal, named, transfer)
             return
-        self._hinders = ''
+        self._blocking_reason = ''
         await self._idle()
 
-    async def _begin_ahead(
+    async def _prefetch_newest(
         self, goal: Goal, before: Named, older: Transfer
     ) -> None:
-        """Begin with the newest version beside the one before it.
+        """Start to fetch the newest version while the previous one is fetched.
 
-        What goes wrong without: the origin is back, all hosts complete the
-        one before and load it, and nobody has asked for a chunk of the newest
-        until then, though the origin's link carries little else. While the
-        older one lacks chunks it goes first.
+        Otherwise, after an outage of the origin, all hosts would complete and
+        load the previous version before any of them reads a chunk of the
+        newest, while the origin's link is nearly idle. The older version has
+        priority as long as it lacks chunks.
         """
         if goal.version in {0, goal.newest}:
             return
@@ -150,7 +155,7 @@
                 named = await self._library.manifest(newest)
                 _, transfer = self._library.open(before, named)
             except CrowrudderError as exc:
-                self._on_hindrance(exc)
+                self._on_failure(exc)
                 await asyncio.sleep(RETRY_S)
                 continue
             transfer.goes_behind = older
@@ -158,163 +163,164 @@
             return
 
     async def _idle(self) -> None:
-        """Wait for a change, or a while."""
+        """Wait for a change or until the next idle check."""
         self._changed.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(until_tick_s(IDLE_S)):
                 await self._changed.wait()
 
-    async def _reachable(self, goal: Goal) -> tuple[Goal, Named]:
-        """Give the goal, or the one before while nobody has its manifest."""
+    async def _reachable_goal(self, goal: Goal) -> tuple[Goal, Named]:
+        """Return the goal, or the previous version if no manifest is available."""
         reading = asyncio.ensure_future(
-            self._library.manifest(goal, is_urgent=not self._loaded)
+            self._library.manifest(goal, is_urgent=not self._loaded_version)
         )
         try:
-            is_held = await self._go_on_meanwhile(goal, reading)
-            older = await self._before(goal) if is_held else None
+            is_held = await self._continue_previous(goal, reading)
+            older = await self._previous(goal) if is_held else None
             return older or (goal, await reading)
         except UpstreamError:
-            older = await self._before(goal, only_if_out=True)
+            older = await self._previous(goal, only_if_started=True)
             if older is None:
                 raise
             return older
         finally:
             reading.cancel()
 
-    async def _go_on_meanwhile(
+    async def _continue_previous(
         self, goal: Goal, reading: asyncio.Future[Named]
     ) -> bool:
-        """Go on with the version before until a manifest is read.
+        """Continue to fetch the previous version until a manifest is read.
 
-        Gives whether that version was held before.
+        Returns whether the previous version was complete first.
 
-        What goes wrong when it is given up as soon as a newer one is named:
-        the source of weights is away, nobody has the newer manifest, and all
-        hosts stop exchanging chunks of the one before for as long as they ask
-        for it, a second of the eight that the version before them has left.
+        If the previous version were dropped as soon as a newer one is
+        published while the origin is down, no host could read the newer
+        manifest, and all hosts would stop exchanging chunks while they ask
+        for it: one second of the eight that the loaded version has left.
         """
         release = self._view.releases.before(goal.model, goal.version)
-        if release is None or self._loaded >= release.version:
+        if release is None or self._loaded_version >= release.version:
             return False
         named = self._library.manifests.known(goal.model, release.version)
         if named is None or not self._library.holds_part_of(named):
             return False
         (transfer,) = self._library.open(named)
-        collecting = asyncio.ensure_future(
+        active = asyncio.ensure_future(
             self._library.collector(named, transfer).run()
         )
         try:
             await asyncio.wait(
-                (reading, collecting), return_when=asyncio.FIRST_COMPLETED
+                (reading, active), return_when=asyncio.FIRST_COMPLETED
             )
         finally:
-            collecting.cancel()
+            active.cancel()
         return transfer.complete and not reading.done()
 
-    async def _collect(self, newest: Collecting) -> None:
-        """Read the newest version, and an older one while that stalls."""
-        self._hinders = f'collects {newest.named.artifact.name}'
+    async def _collect(self, newest: ActiveTransfer) -> None:
+        """Fetch the newest version, and an older one while that stalls."""
+        self._blocking_reason = f'collects {newest.named.artifact.name}'
         began_at = clock_s()
-        jobs = {newest: self._begin(newest)}
+        jobs = {newest: self._start(newest)}
         staging = asyncio.ensure_future(
             self._loader.stage_early(newest.goal, newest.transfer)
         )
         try:
             while not newest.transfer.complete:
-                await asyncio.wait(jobs.values(), timeout=LOOK_S)
+                await asyncio.wait(jobs.values(), timeout=CHECK_INTERVAL_S)
                 if self._is_outdated(newest.goal):
                     return
                 if newest.transfer.origin.is_at_odds:
                     newest.transfer.origin.on_doubted()
-                    self._library.manifests.doubt(newest.named)
+                    self._library.manifests.distrust(newest.named)
                     return
-                await self._look_at(newest, jobs)
+                await self._check_transfers(newest, jobs)
         finally:
             staging.cancel()
             for job in jobs.values():
                 job.cancel()
-        self._note_held(newest, clock_s() - began_at)
+        self._log_held(newest, clock_s() - began_at)
 
-    async def _look_at(
+    async def _check_transfers(
         self,
-        newest: Collecting,
-        jobs: dict[Collecting, asyncio.Future[None]],
+        newest: ActiveTransfer,
+        jobs: dict[ActiveTransfer, asyncio.Future[None]],
     ) -> None:
-        """Begin with the version before when that is due; load it when held."""
-        newest.look()
+        """Start to fetch the previous version when due; load it when complete."""
+        newest.check_progress()
         if self._is_part_due(newest):
             await self._load_part(newest)
         older = next((each for each in jobs if each is not newest), None)
-        if older is None and newest.is_starved:
-            older = await self._older(newest)
+        if older is None and newest.is_stalled:
+            older = await self._open_previous(newest)
             if older is not None:
-                jobs[older] = self._begin(older)
+                jobs[older] = self._start(older)
         if older is not None and older.transfer.complete:
             await self._load(older.goal, older.named, older.transfer)
             jobs.pop(older).cancel()
 
-    def _is_part_due(self, newest: Collecting) -> bool:
-        """Whether the engine shall serve some layers before it holds all.
+    def _is_part_due(self, newest: ActiveTransfer) -> bool:
+        """Return whether the engine should load a layer range before the rest.
 
-        Only where that takes nothing away: nothing may begin on what it
-        holds, and most engines have nothing else either.
+        Only if no capacity is lost: no request may start on what the engine
+        holds, and few other engines can serve either.
         """
         reading = self._watch.reading
         model = newest.goal.model
         if reading is None or reading.is_busy:
             return False
-        if self._may_begin(model, self._loaded):
+        if self._may_start(model, self._loaded_version):
             return False
         part = self._library.part(newest.named.artifact.name, newest.transfer)
         if part.is_whole or part.chunks & ~newest.transfer.held:
             return False
         held = reading.layers
         if reading.weights == newest.named.version and held:
-            # Fewer have come by `EndGuard`, and need not meet on a path.
+            # `EndGuard` may have loaded fewer layers, which need not form a
+            # pipeline with those of other engines.
             return held.count < part.layers.count
-        return self._most_idle(model)
+        return self._few_can_serve(model)
 
-    def _may_begin(self, model: str, version: int) -> bool:
-        """Whether a request may begin on a version that is held whole."""
+    def _may_start(self, model: str, version: int) -> bool:
+        """Return whether a request may start on a complete version."""
         ends_at = self._view.releases.ends_at(model, version)
         return bool(version) and clock_s() < ends_at
 
-    def _most_idle(self, model: str) -> bool:
-        """Whether requests may begin at few of the engines, by the records."""
+    def _few_can_serve(self, model: str) -> bool:
+        """Return whether the records show few engines that can serve."""
         hosts = self._view.engine_hosts(model).values()
         layers = self._watch.layers
-        able = sum(
+        serving = sum(
             upstream.layers.is_whole(layers)
-            and self._may_begin(model, upstream.weights)
+            and self._may_start(model, upstream.weights)
             for upstream in hosts
         )
-        return able < MOST_ABLE * len(hosts)
+        return serving < MAX_SERVING_SHARE * len(hosts)
 
-    async def _load_part(self, newest: Collecting) -> None:
-        """Load the part that is held; the rest goes on being collected."""
+    async def _load_part(self, newest: ActiveTransfer) -> None:
+        """Load the layer range that is held while the rest is fetched."""
         part = self._library.part(newest.named.artifact.name, newest.transfer)
         load = Load(newest.goal.model, newest.named.version, part.chunks)
         try:
             await self._loader.load_layers(load, newest.transfer, part.layers)
         except UpstreamError as exc:
-            self._on_hindrance(exc)
+            self._on_failure(exc)
 
-    def _begin(self, collecting: Collecting) -> asyncio.Future[None]:
-        collecting.look()
-        collector = self._library.collector(
-            collecting.named, collecting.transfer
-        )
+    def _start(self, active: ActiveTransfer) -> asyncio.Future[None]:
+        active.check_progress()
+        collector = self._library.collector(active.named, active.transfer)
         return asyncio.ensure_future(collector.run())
 
-    async def _older(self, newest: Collecting) -> Collecting | None:
-        """Give the version before, where it is known and still of use."""
-        found = await self._before(newest.goal)
+    async def _open_previous(
+        self, newest: ActiveTransfer
+    ) -> ActiveTransfer | None:
+        """Open the previous version if it is known and still worth loading."""
+        found = await self._previous(newest.goal)
         if found is None:
             return None
         goal, named = found
         _, transfer = self._library.open(newest.named, named)
         self._runtime.log.info(
-            'collects the version before as well',
+            'fetching the previous version as well',
             extra={
                 'step': 'collect',
                 'version': named.artifact.name,
@@ -322,37 +328,41 @@
                 'newest_share': round(newest.transfer.share, 3),
             },
         )
-        return Collecting(goal, named, transfer)
+        return ActiveTransfer(goal, named, transfer)
 
-    async def _before(
-        self, goal: Goal, *, only_if_out: bool = False
+    async def _previous(
+        self, goal: Goal, *, only_if_started: bool = False
     ) -> tuple[Goal, Named] | None:
-        """Give the version before, where it is still of use.
+        """Return the previous version if it is still worth loading.
 
         Parameters
         ----------
         only_if_out
-            Whether only if some host has begun with it. Who can read it from
-            the origin can read the newest one there as well.
+            Whether to return it only if some host has started to fetch it. A
+            host that can read it from the origin can read the newest one
+            there as well.
         """
         release = self._view.releases.before(goal.model, goal.version)
         use_s = goal.published_at + self._node.bounds.version_s - clock_s()
-        if release is None or use_s < LEAST_USE_S:
+        if release is None or use_s < MIN_USE_S:
             return None
-        has = self._engine_has
-        if self._loaded >= release.version or has > release.version:
+        engine_version = self._engine_version
+        if (
+            self._loaded_version >= release.version
+            or engine_version > release.version
+        ):
             return None
         older = evolve(
             goal,
             version=release.version,
             published_at=release.published_at,
         )
-        if only_if_out and not self._library.is_out(older):
+        if only_if_started and not self._library.is_started(older):
             return None
         try:
             return older, await self._library.manifest(older)
         except UpstreamError as exc:
-            self._on_hindrance(exc)
+            self._on_failure(exc)
             return None
 
     async def _load(
@@ -361,24 +371,24 @@
         named: Named,
         transfer: Transfer,
     ) -> None:
-        await self._loader.await_turn(
+        await self._loader.wait_for_schedule(
             goal, self._library.places(), self._is_outdated
         )
         if self._is_outdated(goal):
             return
-        if self._loader.is_of_use(goal.model, named.version):
+        if self._loader.is_worth_loading(goal.model, named.version):
             await self._loader.load(goal, named, transfer)
         else:
-            # The next round would come to the same at once.
+            # Without a pause the next round would come here again immediately.
             await self._idle()
 
     @property
-    def _loaded(self) -> int:
+    def _loaded_version(self) -> int:
         return self._watch.whole
 
     @property
-    def _engine_has(self) -> int:
-        """The version that the engine holds, whole or in part; 0 for none."""
+    def _engine_version(self) -> int:
+        """The version of any layers that the engine holds; 0 for none."""
         reading = self._watch.reading
         return reading.weights if reading else 0
 
@@ -386,7 +396,7 @@
         newest = newest_goal(self._view, self._node, now=clock_s())
         return newest is not None and newest.version > goal.newest
 
-    def _note_held(self, collected: Collecting, took_s: float) -> None:
+    def _log_held(self, collected: ActiveTransfer, took_s: float) -> None:
         self._runtime.log.info(
             'version held',
             extra={
@@ -398,8 +408,8 @@
             },
         )
 
-    def _on_hindrance(self, exc: CrowrudderError) -> None:
-        self._hinders = str(exc)
+    def _on_failure(self, exc: CrowrudderError) -> None:
+        self._blocking_reason = str(exc)
         self._runtime.log.warning(
             'version not loaded yet',
             extra={'step': exc.step, 'reason': str(exc)},
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
@@ -1,4 +1,4 @@
-"""The weights that a host holds, and its part in spreading them."""
+"""The weights that a host holds, and their exchange with other agents."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     Shelf,
     UploadSlots,
     WeightsWatch,
-    note_stock,
+    apply_inventory,
 )
 from crowrudder_daemon.fleet_agent._digests import (
     DigestReader,
@@ -34,7 +34,7 @@
 )
 from crowrudder_daemon.fleet_agent._goal import figures_of, model_of
 from crowrudder_daemon.fleet_agent._load_schedule import reads_at_once
-from crowrudder_daemon.fleet_agent._manifest_cache import ManifestBook
+from crowrudder_daemon.fleet_agent._manifest_cache import ManifestCache
 from crowrudder_daemon.fleet_agent._origin_chunks import OriginChunks
 from crowrudder_daemon.settings import WeightsSection
 from crowrudder_model.fleet import NO_LAYERS, LayerRange
@@ -53,24 +53,25 @@
     from crowrudder_daemon.rpc import PeerClient, PeerServer
     from crowrudder_model.fleet import Node
 
-MEMORY_PART = 0.25
-"""Part of the process's memory that chunks may take: the rest is for the
-interpreter, the libraries and what is on its way."""
+CHUNK_MEMORY_SHARE = 0.25
+"""Share of the process's memory for chunks: the rest is for the interpreter, the
+libraries and data in transit."""
 
 NEWS_S = 0.08
-"""Between two words to other agents on the chunks held, while they change.
+"""Interval of inventory messages to other agents while chunks are fetched.
 
 A chunk takes about as long on a slow link (5 Mbit/s)."""
 
 QUIET_S = 0.4
-"""The same where nothing is being collected: what is held stays."""
+"""Interval of inventory messages while nothing is fetched."""
 
 NEIGHBOURS = 12
-"""Other agents that are told of the chunks held."""
+"""Number of other agents that receive the chunk inventory."""
 
 FAR_NEIGHBOURS = 4
-"""Of these, agents of other regions where the own one has the rest: most chunks
-come from the own region, and bytes between regions are few and paid for."""
+"""How many of these are in other regions, if the own region has enough agents:
+most chunks come from the own region, and traffic between regions is scarce and
+costs money."""
 
 PACE: dict[str, Any] = {
     'poll_s': 1.0,
@@ -81,17 +82,18 @@
     'spare_origin': True,
     'narrow_share': 0.25,
 }
-"""What a transfer has otherwise than by the sizes and the link: a window of
-some seconds leaves no time to wait for a host that doesn't bring its part.
-Agents tell what they hold by datagrams, so that only a silent one is asked.
+"""Transfer settings that differ from those derived from sizes and the link.
+
+A window of a few seconds leaves no time to wait for a host that does not deliver
+its chunks. Agents send inventories by datagram, so only silent ones are polled.
 """
 
 BURST_S = 0.02
 
 
 @frozen(kw_only=True)
-class Part:
-    """Layers that a host collects first, and their chunks (bits)."""
+class LayerPart:
+    """Layers that a host fetches first, and their chunks (bits)."""
 
     layers: LayerRange = NO_LAYERS
     chunks: int = 0
@@ -99,7 +101,7 @@
 
 
 class Library:
-    """Owns the chunks of a host; tells other agents of them, and serves them."""
+    """Holds the chunks of a host, reports them to other agents and serves them."""
 
     def __init__(
         self,
@@ -122,46 +124,46 @@
         self._hosts = ServiceHosts(host=node.ip)
         self._hosts.on_hosts(self._listed_places())
         self._changed = asyncio.Event()
-        self._heard: dict[str, dict[str, ChunkNews]] = {}
+        self._received: dict[str, dict[str, ChunkNews]] = {}
         section = WeightsSection(
-            memory_bytes=int(MEMORY_PART * node.memory_bytes),
+            memory_bytes=int(CHUNK_MEMORY_SHARE * node.memory_bytes),
             link_bytes_per_s=int(node.link_bytes_per_s),
             upload_slots=tuning.uploads_at_once,
             live_share=tuning.upload_share,
         )
         self.shelf = Shelf(runtime, section, host=node.ip, pace=PACE)
-        self._note = EngineNote()
+        self._engine_note = EngineNote()
         self._uplink = _link(section)
-        # Requests to the engine are short; its answers go the other way.
+        # Inference requests are short, and their answers use the uplink.
         self._downlink = _link(section, live_share=1)
         self._watch = WeightsWatch(runtime, self.shelf)
         self._source = PeerSource(client)
-        self.manifests = ManifestBook(
+        self.manifests = ManifestCache(
             runtime,
             DigestReader(node.ip, origin, self._source, self.origin_address),
             self._address_of,
         )
         self._service = ChunkService(
             self.shelf,
-            self._note,
+            self._engine_note,
             UploadSlots(section.upload_slots),
             self._uplink,
             self._watch.sent,
         )
 
     def serve(self, server: PeerServer) -> None:
-        """Answer other agents."""
+        """Register the calls by which other agents read chunks."""
         self._service.serve(server)
 
     def chunks_heard(self, ip: str, news: ChunkNews) -> None:
-        """Take another agent's word on the chunks that it holds."""
-        self._heard.setdefault(news.version, {})[ip] = news
+        """Apply another agent's chunk inventory."""
+        self._received.setdefault(news.version, {})[ip] = news
         transfer = self.shelf.find(news.version, news.manifest)
         if transfer is not None:
-            _take_news(transfer, ip, news)
+            _apply_inventory(transfer, ip, news)
 
     def on_change(self) -> None:
-        """Follow the published records."""
+        """Apply a change of the published records."""
         self._hosts.on_hosts(self._listed_places())
         for name, transfer in self.shelf.transfers.items():
             transfer.on_hosts(self._hosts.places)
@@ -169,59 +171,60 @@
                 transfer.first = self.part(name, transfer).chunks
 
     def on_live(self, running: int) -> None:
-        """Let the uplink yield to answers that run."""
+        """Make the uplink yield to answers that are being streamed."""
         now = asyncio.get_running_loop().time()
         self._uplink.on_live(0, running, now=now)
 
     async def manifest(self, goal: Goal, *, is_urgent: bool = False) -> Named:
-        """Give a version's manifest, see `ManifestBook`.
+        """Return a version's manifest, see `ManifestCache`.
 
         Parameters
         ----------
         is_urgent
             Whether the engine holds nothing: then the origin is asked at once.
-            After a power cut hosts waited for each other's word for up to
-            0.27 s; a manifest is a five-hundredth of a copy.
+            Otherwise, after a power cut, hosts wait up to 0.27 s for each
+            other's inventories, while a manifest is only a five-hundredth of
+            the size of a copy.
         """
         name = version_name(goal.model, goal.version)
         return await self.manifests.read(
             goal.model,
             goal.version,
             rank=0 if is_urgent else self._hosts.rank(name),
-            heard=lambda: self._heard.get(name, {}),
+            inventories=lambda: self._received.get(name, {}),
         )
 
-    def is_out(self, goal: Goal) -> bool:
-        """Whether any host is known to have begun with a version."""
+    def is_started(self, goal: Goal) -> bool:
+        """Return whether any host has started to fetch a version."""
         name = version_name(goal.model, goal.version)
         known = self.manifests.known(goal.model, goal.version)
-        return known is not None or bool(self._heard.get(name))
+        return known is not None or bool(self._received.get(name))
 
     def holds_part_of(self, named: Named) -> bool:
-        """Whether any chunk of a version is held."""
+        """Return whether any chunk of a version is held."""
         artifact = named.artifact
         transfer = self.shelf.find(artifact.name, artifact.manifest)
         return transfer is not None and bool(transfer.held)
 
     def open(self, *wanted: Named) -> list[Transfer]:
-        """Begin or go on with versions; all others are given up."""
+        """Start or continue to fetch versions; drop all other transfers."""
         names = frozenset(named.artifact.name for named in wanted)
-        if names != self._note.wanted:
-            self._note.wanted = names
+        if names != self._engine_note.wanted:
+            self._engine_note.wanted = names
             self._changed.set()
         self.shelf.drop_others(names)
         return [self._open(named) for named in wanted]
 
-    async def take_staged(
+    async def import_staged(
         self,
         engine: EnginePort,
         model: str,
         transfer: Transfer,
     ) -> None:
-        """Take what lies at the engine already, after verifying it.
+        """Read back chunks already staged at the engine and verify them.
 
-        Each chunk by itself: an agent that was killed in the middle of a
-        version has left some of it there, between those of the one before.
+        Each chunk is verified on its own: an agent that was killed while it
+        fetched a version leaves chunks of it among those of the previous one.
         """
         now = asyncio.get_running_loop().time
         for index in sorted(await engine.staged(model)):
@@ -230,7 +233,7 @@
                 transfer.on_found(index, payload, now=now())
 
     def collector(self, named: Named, transfer: Transfer) -> Collector:
-        """Give what reads the chunks that a version lacks."""
+        """Return a collector that reads the missing chunks of a version."""
         model = named.artifact.name.rpartition('@')[0]
         return Collector(
             transfer,
@@ -246,36 +249,36 @@
             ),
         )
 
-    async def tell_news(self) -> None:
-        """Tell neighbours which chunks are held, whenever that changes."""
-        told: dict[str, ChunkNews] = {}
+    async def send_inventories(self) -> None:
+        """Send the chunk inventory to neighbours whenever it changes."""
+        last_sent: dict[str, ChunkNews] = {}
         while True:
-            await self._news_pause()
-            for news in self._news():
-                if told.get(news.version) != news:
-                    told[news.version] = news
+            await self._wait_for_change()
+            for news in self._inventories():
+                if last_sent.get(news.version) != news:
+                    last_sent[news.version] = news
                     self._peers.tell(news, self._neighbours())
 
     def places(self) -> Mapping[str, Place]:
-        """Give where the hosts of the service stand, by IP number."""
+        """Return the places of the service's hosts by IP address."""
         return self._hosts.places
 
-    def part(self, version: str, transfer: Transfer) -> Part:
-        """Give the part of a version that this host collects first."""
+    def part(self, version: str, transfer: Transfer) -> LayerPart:
+        """Return the part of a version that this host fetches first."""
         figures = figures_of(self._view, self._node)
         layers = figures.layers if figures else 0
         if not layers:
-            return Part()
+            return LayerPart()
         number = self._hosts.part(version)
         held = layers_of(number, self._hosts.part_count, layers)
-        return Part(
+        return LayerPart(
             layers=held,
             chunks=chunks_of(held, layers=layers, chunks=transfer.count),
             is_whole=held.is_whole(layers),
         )
 
     def origin_address(self) -> str:
-        """Give the origin's address; empty while it isn't known."""
+        """Return the origin's address; empty while it is unknown."""
         config = self._view.config
         origin = config.origin if config else None
         return origin.origin if origin else ''
@@ -301,29 +304,29 @@
             named.payload,
             artifact,
             copies=self._tuning.origin_copies,
-            changes=self._pace_of(artifact.name) if is_new else None,
+            changes=self._pacing_changes(artifact.name) if is_new else None,
         )
         if is_new:
-            self._introduce(transfer)
+            self._init_transfer(transfer)
         return transfer
 
-    def _pace_of(self, version: str) -> dict[str, int]:
+    def _pacing_changes(self, version: str) -> dict[str, int]:
         hosts = self._hosts
         reads = reads_at_once(version, hosts.host, hosts.places)
         return {'reads_at_once': reads}
 
-    def _introduce(self, transfer: Transfer) -> None:
-        """Tell a new transfer of the hosts, and what they have said."""
+    def _init_transfer(self, transfer: Transfer) -> None:
+        """Initialise a new transfer with known hosts and their inventories."""
         version = transfer.manifest.version
         self._changed.set()
         transfer.on_hosts(self._hosts.places)
         transfer.first = self.part(version, transfer).chunks
-        for ip, news in self._heard.get(version, {}).items():
+        for ip, news in self._received.get(version, {}).items():
             if news.manifest == transfer.manifest_digest:
-                _take_news(transfer, ip, news)
+                _apply_inventory(transfer, ip, news)
 
-    async def _news_pause(self) -> None:
-        """Wait for the next word; a version that has just come is told now."""
+    async def _wait_for_change(self) -> None:
+        """Wait for the next interval, or for a newly opened version."""
         is_collecting = any(
             not (transfer.complete or transfer.dropped)
             for transfer in self.shelf.transfers.values()
@@ -335,7 +338,7 @@
                 await self._changed.wait()
         self._changed.clear()
 
-    def _news(self) -> list[ChunkNews]:
+    def _inventories(self) -> list[ChunkNews]:
         found = []
         for name, transfer in self.shelf.transfers.items():
             stock = self._service.stock(name, transfer)
@@ -360,8 +363,8 @@
         return f'{host}:{self._node.rpc_port}'
 
 
-def _take_news(transfer: Transfer, ip: str, news: ChunkNews) -> None:
-    note_stock(
+def _apply_inventory(transfer: Transfer, ip: str, news: ChunkNews) -> None:
+    apply_inventory(
         transfer,
         StockReply(
             host=ip,
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_loader.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_loader.py
@@ -1,4 +1,4 @@
-"""Bring a version that is held into the engine."""
+"""Load a version that the host holds into the engine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from crowrudder_core.transfer import full, indices
 from crowrudder_daemon._clock import clock_s
-from crowrudder_daemon.fleet_agent._goal import is_of_use, may_cut_off
+from crowrudder_daemon.fleet_agent._goal import is_worth_loading, may_cut_off
 from crowrudder_daemon.fleet_agent._load_schedule import load_delay_s
 from crowrudder_model import InvariantError, UpstreamError
 
@@ -25,34 +25,34 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.fleet import LayerRange, Node
 
-ANNOUNCE_S = 0.03
-"""Entries have heard by then that requests should stay away."""
+ANNOUNCE_DELAY_S = 0.03
+"""Time after which entries have received the announcement of a load."""
 
 DRAIN_S = 0.7
-"""How long what runs may go on before a load, see `_drain`."""
+"""How long running requests may continue before a load, see `_drain`."""
 
-CLOSING_S = 0.4
-"""How long before the end of its version an engine takes the order after which
-it begins nothing more. It covers staging (0.02 s at the most), a look at the
-engine (0.05 s) and a loop that is late; and entries take away what hasn't begun
-0.3 s before the end: by then they have been told that it hasn't run, which is
-worth more to a caller."""
+CLOSE_LEAD_S = 0.4
+"""How long before the end of its version an engine receives the order after which
+it starts no more requests. It covers staging (0.02 s at most), the interval of
+engine checks (0.05 s) and a late event loop. Entries cancel requests that have
+not started 0.3 s before the end; the engine's answer that a request was not
+executed comes before that and is more useful to a caller."""
 
 LEAVE_PATHS_S = 1.0
-"""From an agent's word that its engine gives a part up until it loads another
-version; entries believe a word on a part for half of that."""
+"""Time between the report that an engine drops its layer range and the load of
+another version; entries rely on a report of a layer range for half of that."""
 
-LOADED_WITHIN_S = 12.0
-"""Longest wait for a load: what runs may take the callers' longest time."""
+LOAD_TIMEOUT_S = 12.0
+"""Timeout of a load: running requests may take the longest timeout of callers."""
 
-LOOK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 EARLY_S = 0.25
-"""Between two looks for chunks to hand over early."""
+"""Interval of checks for chunks to stage early."""
 
 
 @frozen
 class Load:
-    """A version to load, and the chunks (bits) that it takes."""
+    """A version to load, and the chunks (bits) that the load needs."""
 
     model: str
     version: int
@@ -60,7 +60,7 @@
 
 
 class Loader:
-    """Orders the engine; one load at a time."""
+    """Sends load orders to the engine, one load at a time."""
 
     def __init__(
         self,
@@ -76,8 +76,8 @@
         self._view = view
         self._engine = engine
         self._watch = watch
-        self._staging = asyncio.Lock()
-        self._at_work = asyncio.Lock()
+        self._staging_lock = asyncio.Lock()
+        self._load_lock = asyncio.Lock()
         self._orders = runtime.metrics.counter(
             'engine_orders',
             'Orders to load weights, by outcome.',
@@ -85,17 +85,17 @@
         )
 
     @property
-    def is_at_work(self) -> bool:
-        """Whether a load is under way, its drain included."""
-        return self._at_work.locked()
+    def is_loading(self) -> bool:
+        """Whether a load is in progress, including its drain."""
+        return self._load_lock.locked()
 
-    async def await_turn(
+    async def wait_for_schedule(
         self,
         goal: Goal,
         hosts: Iterable[str],
         is_outdated: Callable[[Goal], bool],
     ) -> None:
-        """Wait for the host's turn, unless the engine has nothing to lose."""
+        """Wait for the host's scheduled load, unless the engine can't serve."""
         if not self._watch.whole:
             return
         due_at = goal.published_at + load_delay_s(
@@ -109,30 +109,30 @@
             left_s = due_at - clock_s()
             if left_s <= 0:
                 return
-            await asyncio.sleep(min(left_s, LOOK_S))
+            await asyncio.sleep(min(left_s, CHECK_INTERVAL_S))
 
     async def load(self, goal: Goal, named: Named, transfer: Transfer) -> None:
-        """Keep requests away, stage, order, and wait until it is loaded.
+        """Drain, stage and order a version, and wait until it is loaded.
 
         Raises
         ------
         InvariantError
-            When the weights aren't whole.
+            If the weights are not complete.
         UpstreamError
-            When the engine didn't take them.
+            If the engine did not load them.
         """
         transfer.assert_whole()
         load = Load(goal.model, named.version, full(transfer.count))
-        async with self._at_work:
-            # Another load may have brought it, or a part of a newer version,
-            # while this one waited.
-            if self.is_of_use(load.model, load.version):
+        async with self._load_lock:
+            # Another load may have loaded it, or a layer range of a newer
+            # version, while this one waited.
+            if self.is_worth_loading(load.model, load.version):
                 await self._load_all(load, transfer)
 
-    def is_of_use(self, model: str, version: int) -> bool:
-        """Whether the engine gains by a version now, see `is_of_use`."""
+    def is_worth_loading(self, model: str, version: int) -> bool:
+        """Return whether to load a version now, see `is_worth_loading`."""
         reading = self._watch.reading
-        return is_of_use(
+        return is_worth_loading(
             version,
             whole=self._watch.whole,
             held=reading.weights if reading else 0,
@@ -148,35 +148,35 @@
         try:
             await self._drain(load.model)
             may_cut = may_cut_off(self._view, self._node)
-            await self._carry_out(load, transfer, may_cut_off=may_cut)
+            await self._execute(load, transfer, may_cut_off=may_cut)
         finally:
             self._watch.set_changing(is_changing=False)
 
     async def load_layers(
         self, load: Load, transfer: Transfer, layers: LayerRange
     ) -> None:
-        """Load some layers into an engine that nothing may begin on.
+        """Load a layer range into an engine on which no request may start.
 
-        What still runs on the version before ends first; to layers of the
-        same version they are added beside the work.
+        Requests on another version finish first; layers of the version that
+        the engine already holds are added while requests run.
 
         Raises
         ------
         InvariantError
-            When a chunk of them isn't held.
+            If a chunk of the layers is not held.
         UpstreamError
-            When the engine didn't take them.
+            If the engine did not load them.
         """
-        # Each chunk is verified; that the rest was given up for a newer
-        # version doesn't matter.
+        # Each chunk is verified, so it does not matter if the transfer was
+        # dropped for a newer version.
         if load.chunks & ~transfer.at_hand:
             raise InvariantError(
                 f'a part of {transfer.manifest.version} is not held; it is '
                 'not loaded',
                 step='verify',
             )
-        async with self._at_work:
-            # Another load may have brought more while this one waited.
+        async with self._load_lock:
+            # Another load may have loaded more while this one waited.
             if self._watch.whole >= load.version:
                 return
             if self._holds_part_of(load.version, within=layers):
@@ -187,10 +187,10 @@
     async def _extend(
         self, load: Load, transfer: Transfer, layers: LayerRange | None = None
     ) -> None:
-        """Add layers of the engine's version, which it does beside its work."""
+        """Add layers of the engine's version while its requests run."""
         self._watch.set_extending(is_extending=True)
         try:
-            await self._carry_out(
+            await self._execute(
                 load, transfer, may_cut_off=False, layers=layers
             )
         finally:
@@ -199,17 +199,17 @@
     async def _change_to(
         self, load: Load, transfer: Transfer, layers: LayerRange
     ) -> None:
-        """Load layers in place of another version, or of too few others."""
+        """Load layers in place of another version or another layer range."""
         self._watch.set_changing(is_changing=True)
         try:
-            await self._leave_paths()
-            await self._carry_out(
+            await self._leave_pipelines()
+            await self._execute(
                 load, transfer, may_cut_off=False, layers=layers
             )
         finally:
             self._watch.set_changing(is_changing=False)
 
-    async def _carry_out(
+    async def _execute(
         self,
         load: Load,
         transfer: Transfer,
@@ -217,16 +217,16 @@
         may_cut_off: bool,
         layers: LayerRange | None = None,
     ) -> None:
-        async with self._staging:
+        async with self._staging_lock:
             await self._stage(load, transfer)
             began_at = clock_s()
-            await self._order(load, may_cut_off=may_cut_off, layers=layers)
+            await self._send_order(load, may_cut_off=may_cut_off, layers=layers)
         await self._until_loaded(load.version, began_at, layers)
 
     def _holds_part_of(
         self, version: int, *, within: LayerRange | None = None
     ) -> bool:
-        """Whether it holds some layers of a version, all within a range."""
+        """Return whether the engine holds a version partially, within a range."""
         reading = self._watch.reading
         if reading is None or self._watch.whole:
             return False
@@ -234,96 +234,96 @@
             return False
         return within is None or within.covers(reading.layers)
 
-    async def _leave_paths(self) -> None:
-        """Give entries time to take the engine off their paths.
+    async def _leave_pipelines(self) -> None:
+        """Give entries time to remove the engine from their pipelines.
 
-        What goes wrong without it: an entry goes by a word that the engine
-        holds some layers of one version, and by the time that the request
-        comes it holds the same layers of another: a token would be made by
-        two versions.
+        Otherwise an entry may rely on a report that the engine holds some
+        layers of one version, while it holds the same layers of another when
+        the request arrives, and a token would be computed by two versions.
         """
         reading = self._watch.reading
         if reading is not None and reading.layers and not self._watch.whole:
             await asyncio.sleep(LEAVE_PATHS_S)
 
     async def stage_early(self, goal: Goal, transfer: Transfer) -> None:
-        """Hand chunks over as they come, until cancelled.
+        """Stage chunks at the engine as they arrive, until cancelled.
 
-        Chunks that an agent holds are lost with it; at the engine its next
-        life finds them. Nothing is loaded by that: a load stages all anew,
-        and what comes here meanwhile waits for its order to be accepted, or
-        the engine would take chunks of two versions.
+        Chunks in an agent's memory are lost with the process; its next
+        incarnation finds those at the engine. Staging loads nothing: a load
+        stages all chunks again, and chunks that arrive meanwhile wait until
+        its order is accepted; otherwise the engine would load chunks of two
+        versions.
         """
-        done: set[int] = set()
-        life = self._life
+        staged: set[int] = set()
+        engine_started_ms = self._engine_started_ms
         while True:
-            if life != self._life:
-                # What was handed to the life before may be lost with it.
-                life = self._life
-                done.clear()
+            if engine_started_ms != self._engine_started_ms:
+                # Chunks staged before the engine's restart may be lost.
+                engine_started_ms = self._engine_started_ms
+                staged.clear()
             held = {
                 index
                 for index in range(transfer.count)
                 if transfer.held >> index & 1
             }
-            for index in sorted(held - done):
+            for index in sorted(held - staged):
                 if not await self._stage_one(goal.model, index, transfer):
                     return
-                done.add(index)
+                staged.add(index)
             await asyncio.sleep(EARLY_S)
 
     @property
-    def _life(self) -> int:
-        """The start of the engine's life, 0 where it isn't known."""
+    def _engine_started_ms(self) -> int:
+        """The engine's start time, which identifies its incarnation."""
         reading = self._watch.reading
         return reading.started_ms if reading else 0
 
     async def _stage_one(
         self, model: str, index: int, transfer: Transfer
     ) -> bool:
-        """Hand a chunk over; false where the engine didn't take it.
+        """Stage a chunk; return false if the engine did not accept it.
 
-        Nothing more is handed over early then: what an engine has taken too
-        late to say so must not come between the chunks of another version.
+        Early staging then stops: a chunk that the engine accepts after the
+        timeout must not end up among the chunks of another version.
         """
         payload = transfer.chunk(index)
         if payload is None:
             return True
         try:
-            async with self._staging:
+            async with self._staging_lock:
                 await self._engine.put_chunk(model, index, payload)
         except UpstreamError as exc:
-            # The load stages it again; only a kill before then loses it.
+            # The load stages it again; it is lost only by a kill before that.
             self._runtime.log.info('chunk not staged early: %s', exc)
             return False
         return True
 
     async def _drain(self, model: str) -> None:
-        """Let what runs end, now that entries send nothing more.
+        """Let running requests finish, now that entries send no more.
 
-        About half of it ends within the wait. The rest is cut off where it
-        can go on elsewhere; waiting for the longest answer would leave the
-        engine all but idle for two seconds. The wait ends before the loaded
-        version does: what is queued would begin on it afterwards.
+        About half of them finish within the wait. The rest are cut off if
+        they can be resumed elsewhere; waiting for the longest answer would
+        leave the engine nearly idle for two seconds. The wait ends before the
+        loaded version does, as queued requests would start on it afterwards.
         """
-        await self._leave_paths()
-        await asyncio.sleep(ANNOUNCE_S)
+        await self._leave_pipelines()
+        await asyncio.sleep(ANNOUNCE_DELAY_S)
         until = clock_s() + DRAIN_S
         if self._watch.whole:
             # Nothing is sent to a part once a newer version is named.
             ends_at = self._view.releases.ends_at(model, self._watch.whole)
-            until = min(until, ends_at - CLOSING_S)
+            until = min(until, ends_at - CLOSE_LEAD_S)
         while clock_s() < until:
             reading = await self._watch.read_now()
             if reading is None or not reading.running + reading.queued:
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def _stage(self, load: Load, transfer: Transfer) -> None:
-        """Hand over the chunks of a load anew directly before its order.
+        """Stage all chunks of a load again directly before its order.
 
-        What was staged earlier may have become corrupted there, and a load
-        takes what lies there unseen.
+        Chunks staged earlier may have been corrupted at the engine, and a load
+        uses staged chunks without verifying them.
         """
         began_at = clock_s()
         for index in indices(load.chunks):
@@ -340,7 +340,7 @@
             },
         )
 
-    async def _order(
+    async def _send_order(
         self, load: Load, *, may_cut_off: bool, layers: LayerRange | None
     ) -> None:
         taken = await self._engine.load(
@@ -356,23 +356,23 @@
     async def _until_loaded(
         self, version: int, began_at: float, layers: LayerRange | None
     ) -> None:
-        while clock_s() - began_at < LOADED_WITHIN_S:
+        while clock_s() - began_at < LOAD_TIMEOUT_S:
             reading = await self._watch.read_now()
-            if reading is not None and self._has_taken(version, layers):
-                self._note_loaded(version, clock_s() - began_at, layers)
+            if reading is not None and self._has_loaded(version, layers):
+                self._log_loaded(version, clock_s() - began_at, layers)
                 return
             if reading is not None and not reading.is_busy:
                 break
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
         raise UpstreamError('the engine did not take the version', step='order')
 
-    def _has_taken(self, version: int, layers: LayerRange | None) -> bool:
+    def _has_loaded(self, version: int, layers: LayerRange | None) -> bool:
         reading = self._watch.reading
         if layers is None or reading is None:
             return self._watch.whole >= version
         return reading.weights == version and reading.layers.covers(layers)
 
-    def _note_loaded(
+    def _log_loaded(
         self, version: int, took_s: float, layers: LayerRange | None
     ) -> None:
         self._runtime.log.info(
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_manifest_cache.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_manifest_cache.py
@@ -1,4 +1,4 @@
-"""The manifests that a host goes by, and from whom it takes them."""
+"""Manifests that a host uses, and the sources it reads them from."""
 
 from __future__ import annotations
 
@@ -11,28 +11,31 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from crowrudder_daemon.fleet_agent._digests import DigestReader, Named
+    from crowrudder_daemon.fleet_agent._digests import (
+        DigestReader,
+        Named,
+    )
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.messages import ChunkNews
 
     Heard = Callable[[], Mapping[str, ChunkNews]]
 
 RANK_WAIT_S = 0.03
-"""The agents ask the origin for a manifest one after the other, so far apart,
-as long as no other agent has told that it has it."""
+"""Agents ask the origin for a manifest one after the other, at this interval, as
+long as no other agent has reported that it holds it."""
 
-MOST_RANKS = 10
+MAX_RANKS = 10
 
 
-class ManifestBook:
-    """Owns the manifests by version, and those that are doubted.
+class ManifestCache:
+    """Holds manifests by version and the digests of distrusted ones.
 
     Parameters
     ----------
     digests
-        Reads them from the origin or from another agent.
+        Reads manifests from the origin or from another agent.
     address_of
-        Gives the address of a host's agent.
+        Returns the address of a host's agent.
     """
 
     def __init__(
@@ -45,33 +48,33 @@
         self._digests = digests
         self._address_of = address_of
         self._named: dict[str, Named] = {}
-        self._doubted: set[str] = set()
+        self._distrusted: set[str] = set()
 
     async def read(
-        self, model: str, version: int, *, rank: int, heard: Heard
+        self, model: str, version: int, *, rank: int, inventories: Heard
     ) -> Named:
-        """Give a version's manifest, the own one, a peer's or the origin's.
+        """Return a version's manifest: a known one, a peer's or the origin's.
 
         Parameters
         ----------
         rank
-            The host's place among those that may ask the origin.
-        heard
-            Gives what other agents have told of the version, by host.
+            The host's position among those that may ask the origin.
+        inventories
+            Returns the inventories received for the version, by host.
 
         Raises
         ------
         UpstreamError
-            When nobody gave a sound one.
+            If no source returned a valid manifest.
         """
         known = self.known(model, version)
         if known is not None:
             return known
-        named = await self._from_peers(version, rank, heard)
+        named = await self._from_peers(version, rank, inventories)
         if named is None:
             named = await self._digests.from_origin(model, version)
-            # Read anew and the same: then its chunks come spoilt.
-            self._doubted.discard(named.artifact.manifest)
+            # A new read gave the same manifest: the chunks were corrupted.
+            self._distrusted.discard(named.artifact.manifest)
         self._named[named.artifact.name] = named
         self._runtime.log.info(
             'manifest taken',
@@ -80,7 +83,7 @@
         return named
 
     def known(self, model: str, version: int) -> Named | None:
-        """Give a manifest that was read before; 0 for the newest."""
+        """Return a manifest read earlier; version 0 stands for the newest."""
         if version:
             return self._named.get(version_name(model, version))
         of_model = [
@@ -90,15 +93,15 @@
         ]
         return max(of_model, key=lambda named: named.version, default=None)
 
-    def doubt(self, named: Named) -> None:
-        """Give a manifest up that the origin's chunks contradict.
+    def distrust(self, named: Named) -> None:
+        """Discard a manifest that contradicts the origin's chunks.
 
-        What goes wrong without it: the origin hands out a wrong digest to all
-        who ask for a while; the version is whole nowhere, long after the
-        origin is sound again. The next manifest comes from the origin, not
-        from those who were given the same.
+        If the origin returns a wrong digest to all readers for a while, the
+        version would otherwise remain incomplete on every host long after the
+        origin has recovered. The next manifest is read from the origin, not
+        from agents that received the same wrong one.
         """
-        self._doubted.add(named.artifact.manifest)
+        self._distrusted.add(named.artifact.manifest)
         self._named.pop(named.artifact.name, None)
         self._runtime.log.warning(
             'manifest doubted',
@@ -106,14 +109,14 @@
         )
 
     async def _from_peers(
-        self, version: int, rank: int, heard: Heard
+        self, version: int, rank: int, inventories: Heard
     ) -> Named | None:
-        """Ask an agent that was heard to have it, if it comes soon."""
+        """Read from an agent that reports the version, waiting up to the rank."""
         if not version:
             return None
-        for _ in range(min(rank, MOST_RANKS)):
-            for ip, news in list(heard().items()):
-                if news.manifest in self._doubted:
+        for _ in range(min(rank, MAX_RANKS)):
+            for ip, news in list(inventories().items()):
+                if news.manifest in self._distrusted:
                     continue
                 named = await self._digests.from_peer(
                     self._address_of(ip),
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_origin_chunks.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_origin_chunks.py
@@ -1,4 +1,4 @@
-"""The origin's chunks of one version, as a collector reads them."""
+"""Adapter that lets a collector read one version from the origin."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OriginChunks:
-    """The origin as the collector wants it: one version's chunks."""
+    """Reads the chunks of one version from the origin."""
 
     def __init__(
         self,
@@ -48,4 +48,4 @@
             ) from exc
 
     def distrust_store(self) -> None:
-        """There is no store beside the origin."""
+        """Do nothing: there is no store in front of the origin."""
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_role.py
@@ -1,4 +1,4 @@
-"""Put the agent of a fleet together from its tasks."""
+"""Assemble the fleet agent from its tasks."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     engine: EnginePort,
     origin: WeightsOriginPort,
 ) -> FleetAgent:
-    """Make the agent of a node; nothing starts yet."""
+    """Build the agent of a node without starting it."""
     return FleetAgent(
         runtime, node, tuning, source=source, engine=engine, origin=origin
     )
 
 
 class FleetAgent(FleetRole):
-    """The agent's tasks and their order of start and stop."""
+    """Runs the agent's tasks and defines their start and stop order."""
 
     def __init__(
         self,
@@ -93,25 +93,25 @@
         )
 
     def _layers(self) -> int:
-        """Give the layers of the engine's model; 0 while unknown."""
+        """Return the number of layers of the engine's model; 0 while unknown."""
         figures = figures_of(self.catalog.view, self.node)
         return figures.layers if figures else 0
 
     async def start(self) -> None:
-        """Listen and begin to learn."""
+        """Start the server, membership and the agent's tasks."""
         self.library.serve(self.rpc)
         await self.begin()
         self.runtime.spawn(self.watch.watch(), step='watch the engine')
         self.runtime.spawn(self.keeper.keep(), step='keep the version')
         self.runtime.spawn(self.end_guard.guard(), step='guard the end')
-        self.runtime.spawn(self.library.tell_news(), step='tell news')
+        self.runtime.spawn(self.library.send_inventories(), step='tell news')
 
     async def drain(self) -> None:
-        """Leave at once: no caller waits for an agent."""
+        """Leave immediately: no caller waits for an agent."""
         self.peers.set_state(ready=False, leaving=True)
 
     def status(self) -> dict[str, Any]:
-        """Tell how far this host is from the named version."""
+        """Return the progress of this host towards the published version."""
         return {
             **self.catalog.status(),
             **self.keeper.status(),
@@ -120,22 +120,24 @@
         }
 
     def readiness(self) -> list[str]:
-        """Give what keeps the engine from the named version."""
-        reasons = [self.keeper.hinders] if self.keeper.hinders else []
+        """Return the reasons why the engine lacks the published version."""
+        reasons = (
+            [self.keeper.blocking_reason] if self.keeper.blocking_reason else []
+        )
         if self.watch.reading is None:
             reasons.append('the engine does not answer')
         return reasons
 
     def explain(self, customer: str, model: str) -> dict[str, Any]:
-        """Refuse: agents route nothing."""
+        """Raise: agents do not route requests."""
         raise NotImplementedError
 
     def chunks_heard(self, ip: str, news: ChunkNews) -> None:
-        """Pass another agent's word on its chunks on."""
+        """Forward another agent's chunk inventory to the library."""
         self.library.chunks_heard(ip, news)
 
     def on_change(self) -> None:
-        """Follow the published records."""
+        """Apply a change of the published records."""
         self.library.on_change()
         self.keeper.on_change()
         self.end_guard.on_change()
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -1,4 +1,4 @@
-"""Agents that bring named versions to the engines beside them."""
+"""Agents that load published versions into their local engines."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from support.agent_checks import assert_whole, checked
 
 
-def held_together(world, version):
-    """Give the chunks (bits) that the agents hold among them."""
+def chunks_held_together(world, version):
+    """Return the chunks (bits) that the agents hold together."""
     transfers = [
         agent.library.shelf.transfers.get(version) for agent in world.agents
     ]
     return reduce(or_, (each.held for each in transfers if each), 0)
 
 
-def plan_after_a_word(wants, *sources, **more):
-    """Plan reads, those by turn from the first word of another host on."""
+def plan_after_first_inventory(wants, *sources, **more):
+    """Plan reads; assigned ones only once another host's inventory arrived."""
     if wants.turn_reason is OriginReason.UNHEARD:
         wants = evolve(wants, from_origin=0)
     return plan_reads(wants, *sources, **more)
 
 
 class TestVersions:
-    def test_every_engine_gets_a_named_version_whole(self):
+    def test_every_engine_loads_a_published_version(self):
         async def check(world):
             replicas = [
                 await world.add_agent(number, loaded=1) for number in range(4)
@@ -50,25 +50,24 @@
             )
             for replica in replicas:
                 assert_whole(world, replica, 2)
-            # How near one copy they come is measured over slow links; here a
-            # chunk is read before anyone has heard of another.
+            # A chunk is read here before any inventory arrives. How close the
+            # reads come to one copy is measured over slow links.
             assert world.origin.reads[2] <= MOST_COPIES * world.origin.count
 
         checked(check)
 
-    def test_an_engine_that_comes_empty_is_served_by_others(self, monkeypatch):
-        """The origin sent what two others held.
+    def test_empty_engine_reads_from_peers(self, monkeypatch):
+        """Guard against reads from the origin of chunks that two hosts hold.
 
-        Symptom: one to seven of eight chunks are read from the origin, beside
-        load. Sequence: the word of one of the two comes, that of the other
-        is late. Cause: see `weights/test_first_copy.py::TestSpareOrigin`.
+        One to seven of eight chunks were read from the origin on a loaded
+        machine, as the inventory of one of the two hosts arrived late. See `weights/test_first_copy.py::TestSpareOrigin`.
         """
-        # On a busy machine both may be late; the origin is asked then, by a
-        # host that is starved or whose turn comes before any word.
+        # On a busy machine both inventories may be late; then a host without
+        # incoming chunks, or an assigned reader, reads from the origin.
         monkeypatch.setattr(
             _library, 'PACE', {**_library.PACE, 'starved_s': 30}
         )
-        monkeypatch.setattr(_transfer, 'plan_reads', plan_after_a_word)
+        monkeypatch.setattr(_transfer, 'plan_reads', plan_after_first_inventory)
 
         async def check(world):
             for number in range(2):
@@ -89,7 +88,7 @@
 
         checked(check)
 
-    def test_the_newest_of_two_versions_wins(self):
+    def test_newest_of_two_versions_is_loaded(self):
         async def check(world):
             replicas = [
                 await world.add_agent(number, loaded=1) for number in range(3)
@@ -106,15 +105,15 @@
         checked(check)
 
     @pytest.mark.parametrize('knows_the_newest', [False, True])
-    def test_the_version_before_is_loaded_while_the_newest_is_out_of_reach(
+    def test_previous_version_is_loaded_while_newest_is_unreachable(
         self, knows_the_newest, monkeypatch
     ):
-        """No engine could answer for eight seconds.
+        """Guard against dropping a complete version for an unavailable one.
 
-        Symptom: all requests are refused from the end of the first version's
-        window on. Sequence: version 2 is named and leaves the origin, version
-        3 is named, the origin crashes. Cause: hosts gave version 2 up for one
-        that they could not get.
+        Version 2 is published and read from the origin, version 3 is
+        published, the origin crashes. Hosts dropped version 2 for version 3,
+        and all requests were refused for eight seconds after the end of the
+        first version's window.
         """
         monkeypatch.setattr(_loader, 'load_delay_s', lambda **_: 0)
 
@@ -125,10 +124,13 @@
             ]
             await world.ready()
             world.name_version(2)
-            # Not the reads at the origin: two hosts may read one chunk, and one
-            # on its way is lost with the origin.
+            # Reads at the origin do not show this: two hosts may read the same
+            # chunk, and a chunk in transit is lost with the origin.
             await world.until(
-                lambda: held_together(world, 'm@2') == full(world.origin.count)
+                lambda: (
+                    chunks_held_together(world, 'm@2')
+                    == full(world.origin.count)
+                )
             )
             if not knows_the_newest:
                 world.origin.faults.switch_on(Fault('down'))
@@ -153,16 +155,16 @@
 
         checked(check)
 
-    def test_a_newer_name_without_a_manifest_stops_no_transfer(
+    def test_newer_version_without_manifest_stops_no_transfer(
         self, monkeypatch
     ):
-        """All engines stood still for seven seconds.
+        """Guard against pausing a transfer to ask for a newer manifest.
 
-        Symptom: a version that left the origin in time is held a second
-        later than its chunks need, and is loaded after the one before it has
-        ended. Sequence: version 2 is on its way, version 3 is named while the
-        origin is away. Cause: each host gave version 2 up and asked for the
-        manifest of version 3, six times, before it went on.
+        Version 3 is published while version 2 is being fetched and the origin
+        is down. Each host stopped fetching version 2 and asked six times for
+        the manifest of version 3. Version 2 was complete a second late and was
+        loaded after the previous version had ended: no engine served for
+        seven seconds.
         """
         monkeypatch.setattr(_loader, 'load_delay_s', lambda **_: 0)
         monkeypatch.setattr(_digests, 'PAUSE_S', 60)
@@ -175,7 +177,10 @@
             await world.ready()
             world.name_version(2)
             await world.until(
-                lambda: held_together(world, 'm@2') == full(world.origin.count)
+                lambda: (
+                    chunks_held_together(world, 'm@2')
+                    == full(world.origin.count)
+                )
             )
             await world.until(
                 lambda: all(
@@ -196,12 +201,11 @@
     def test_of_two_versions_named_at_once_the_newest_is_collected(
         self, monkeypatch
     ):
-        """Hosts collected a version that nobody was to be served from.
+        """Guard against fetching a version that is already superseded.
 
-        Symptom: after two versions in one moment engines load both, one after
-        the other. Sequence: both are named before a host has read the manifest
-        of the first. Cause: the host took the older one for one that it was
-        about to hold, though it had nothing of it.
+        Two versions are published before a host has read the manifest of the
+        first. The host treated the older one as nearly complete although it
+        held no chunk of it, and engines loaded both, one after the other.
         """
         monkeypatch.setattr(_loader, 'load_delay_s', lambda **_: 0)
 
@@ -224,11 +228,11 @@
 
         checked(check)
 
-    def test_a_manifest_that_comes_too_late_begins_nothing(self, monkeypatch):
-        """Engines loaded a version that was read only after a newer one.
+    def test_late_manifest_starts_no_load(self, monkeypatch):
+        """Guard against loading a version whose manifest arrived too late.
 
-        Guards against a keeper that is still waiting for an older manifest
-        when a newer version is named.
+        A newer version is published while the keeper still waits for the
+        manifest of the older one.
         """
         monkeypatch.setattr(_loader, 'load_delay_s', lambda **_: 0)
 
@@ -268,7 +272,7 @@
 
         checked(check)
 
-    def test_an_engine_that_lost_its_weights_gets_them_again(self):
+    def test_engine_that_lost_its_weights_is_reloaded(self):
         async def check(world):
             replica = await world.add_agent(1, loaded=1)
             agent = world.agents[0]
@@ -284,7 +288,7 @@
 
 
 class TestEntriesAreTold:
-    def test_no_request_meets_an_engine_that_loads(self):
+    def test_no_request_reaches_a_loading_engine(self):
         async def check(world):
             replica = await world.add_agent(1, loaded=1)
             await world.ready()
@@ -298,7 +302,7 @@
 
 
 def test_pieces_of_versions_differ():
-    """Guard the checks above: equal versions would pass them."""
+    """Check that versions differ; the tests above rely on it."""
     from crowrudder_standins.fleet_origin import FleetOrigin
 
     origin = FleetOrigin({'--model': 'm'})
--- a/tests/fleet/test_agent_chunks.py
+++ b/tests/fleet/test_agent_chunks.py
@@ -1,4 +1,4 @@
-"""Chunks that agents hold: parts of a version, bad sources, early staging."""
+"""Chunks that agents hold: partial versions, bad sources, early staging."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 
 class TestParts:
-    def test_empty_engines_serve_by_parts_before_they_hold_all(self):
-        """Nobody answered for five seconds after a power cut.
-
-        Symptom: all requests are refused for as long as a whole copy takes
-        over a host's link. Sequence: all engines are empty, each host collects
-        the version in another order. Cause: nothing was loaded before a host
-        held everything, though three together held all layers much earlier.
+    def test_empty_engines_serve_partial_versions(self):
+        """Guard against serving only once a host holds the complete version.
+
+        After a power cut all engines are empty, and each host fetches the
+        version in another order. Nothing was loaded before a host held all
+        chunks, though three hosts together held all layers much earlier: all
+        requests were refused for five seconds, the time of a complete copy
+        over a host's link.
         """
 
         async def check(world):
             world.origin.faults.switch_on(Fault('down'))
-            # A chunk takes 0.14 s from host to host: the links are the bound.
+            # A chunk takes 0.14 s from host to host: the links are the bottleneck.
             replicas = [
                 await world.add_agent(number, link_bytes_per_s=3e4)
                 for number in range(3)
@@ -46,7 +47,7 @@
 
         checked(check)
 
-    def test_where_most_engines_serve_a_host_loads_all_at_once(self):
+    def test_host_loads_complete_version_if_most_engines_serve(self):
         async def check(world):
             for number in range(3):
                 await world.add_agent(number, loaded=1)
@@ -59,7 +60,7 @@
 
 
 class TestBadSources:
-    def test_spoilt_pieces_of_the_origin_reach_no_engine(self):
+    def test_corrupt_pieces_of_the_origin_reach_no_engine(self):
         async def check(world):
             world.origin.faults.switch_on(Fault('corrupt', 5))
             replica = await world.add_agent(1)
@@ -68,12 +69,11 @@
 
         checked(check)
 
-    def test_a_wrong_digest_is_found_by_a_second_read(self):
-        """A version was never whole.
+    def test_wrong_digest_is_detected_by_second_read(self):
+        """Guard against trusting digests after a single read.
 
-        Symptom: a host reads one chunk again and again. Sequence: the origin
-        hands out a digest with a wrong byte, once. Cause: the digests were
-        believed after one read.
+        The origin returns a digest with a wrong byte once. The host read the
+        same chunk repeatedly, and the version was never complete.
         """
 
         async def check(world):
@@ -85,11 +85,12 @@
         checked(check)
 
     def test_a_wrong_manifest_is_given_up(self):
-        """A version was whole nowhere, long after the origin was sound.
+        """Guard against keeping a wrong manifest forever.
 
-        Symptom: all hosts read one chunk again and again, for ever. Sequence:
-        the origin gives the same wrong digest to everyone for a second. Cause:
-        a manifest on which two reads agreed was believed for good.
+        The origin returns the same wrong digest to every host for a second. A
+        manifest on which two reads agreed was trusted permanently: all hosts
+        read one chunk repeatedly, and the version was complete nowhere, long
+        after the origin had recovered.
         """
 
         async def check(world):
@@ -104,7 +105,7 @@
 
         checked(check)
 
-    def test_a_sound_manifest_outlives_doubts(self):
+    def test_valid_manifest_survives_corrupt_chunks(self):
         async def check(world):
             world.origin.faults.switch_on(Fault('corrupt', 9))
             replica = await world.add_agent(1)
@@ -113,12 +114,12 @@
 
         checked(check)
 
-    def test_what_lies_spoilt_at_the_engine_is_replaced(self):
-        """A load took a chunk that had become corrupted.
+    def test_corrupt_staged_chunk_is_replaced(self):
+        """Guard against loading a chunk that was corrupted after staging.
 
-        Symptom: an engine answers with mixed weights. Sequence: chunks are
-        staged, one becomes corrupted where it lies, the order comes later.
-        Cause: what was staged earlier was taken to be sound.
+        Chunks are staged, one is corrupted at the engine, and the order comes
+        later. Chunks staged earlier were assumed to be valid, and the engine
+        answered with mixed weights.
         """
 
         async def check(world):
@@ -133,15 +134,14 @@
 
 
 class TestStagedEarly:
-    """An agent that was killed goes on with what it had.
+    """A restarted agent continues with the chunks it had.
 
-    Symptom: after all processes were killed the engines stand still for eight
-    seconds. Sequence: a version is named, hosts hold most of it, the kill
-    comes before a load; the next lives begin with nothing. Cause: chunks that
-    only the agents' memory held.
+    A version is published, hosts hold most of it, and all processes are killed
+    before a load. Chunks were only in the agents' memory, so the restarted
+    processes began with nothing and no engine served for eight seconds.
     """
 
-    def test_chunks_go_to_the_engine_before_the_load(self, monkeypatch):
+    def test_chunks_are_staged_before_the_load(self, monkeypatch):
         monkeypatch.setattr(_loader, 'EARLY_S', 0.001)
 
         async def check(world):
@@ -154,7 +154,7 @@
 
         checked(check)
 
-    def test_a_new_life_finds_them_between_those_of_another_version(self):
+    def test_restarted_agent_reuses_staged_chunks_of_its_version(self):
         async def check(world):
             replica = await world.add_agent(1, staged=False)
             replica.staged = {
--- a/tests/fleet/test_agent_versions.py
+++ b/tests/fleet/test_agent_versions.py
@@ -1,4 +1,4 @@
-"""Two versions under way at an agent: which one is collected when."""
+"""Order in which an agent fetches two versions."""
 
 from __future__ import annotations
 
@@ -10,27 +10,25 @@
 
 
 class TestNewestBesideTheOneBefore:
-    def test_the_newest_is_begun_before_the_older_one_is_whole(
-        self, monkeypatch
-    ):
-        """Nobody answered for four seconds after the origin's return.
-
-        Symptom: the newest version is held 7 s after the origin is back, where
-        the links need four. Sequence: a version is on its way, a newer one is
-        named while the origin is away; on its return all hosts complete the
-        older one first, and only then ask for the manifest of the newest.
-        Cause: who collects the version before looked for nothing else.
+    def test_newest_is_started_before_older_is_complete(self, monkeypatch):
+        """Guard against fetching the newest version only after the previous one.
+
+        A newer version is published while the origin is down and a previous
+        one is being fetched. When the origin returned, all hosts completed the
+        older version before asking for the manifest of the newest: they held
+        it 7 s after the return, where the links need 4 s, and no engine served
+        for four seconds.
         """
         monkeypatch.setattr(_loader, 'load_delay_s', lambda **_: 0)
         monkeypatch.setattr(_digests, 'PAUSE_S', 0.01)
         collected = []
         collect = WeightsKeeper._collect
 
-        async def note_goal(keeper, collecting):
-            collected.append((collecting.goal.version, collecting.goal.newest))
-            await collect(keeper, collecting)
+        async def record_goal(keeper, active):
+            collected.append((active.goal.version, active.goal.newest))
+            await collect(keeper, active)
 
-        monkeypatch.setattr(WeightsKeeper, '_collect', note_goal)
+        monkeypatch.setattr(WeightsKeeper, '_collect', record_goal)
 
         async def check(world):
             replica = await world.add_agent(1, loaded=1, version_s=30)
--- a/tests/fleet/test_end_guard.py
+++ b/tests/fleet/test_end_guard.py
@@ -1,4 +1,4 @@
-"""What an agent loads to end its engine's version."""
+"""Choice of the load that replaces an engine's expiring version."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def guard(versions, *, named_ago_s):
-    """Give the guard of an engine that holds version 1 whole."""
+    """Return the guard of an engine that holds version 1 completely."""
     releases = Releases(WINDOW_S)
     for version, ago_s in named_ago_s.items():
         releases.on_named('m', version, age_s=ago_s, now=clock_s())
@@ -53,40 +53,39 @@
 
 
 def loads(versions, **more):
-    """Give the version and the layers that end version 1, None for nothing."""
-    closing = guard(versions, **more)._closing(FIGURES)
+    """Return the version and layers that replace version 1, or None."""
+    closing = guard(versions, **more)._choose_closing_load(FIGURES)
     return closing and (closing.load.version, closing.layers)
 
 
 class TestClosing:
-    def test_a_version_that_is_all_but_whole_goes_before_the_newest(self):
-        """Few engines served the version between two ends.
-
-        Symptom: of 51 engines 11 serve version 2 where 33 did before.
-        Sequence: versions 2 and 3 are named one after the other; at the end
-        of version 1 most hosts hold most of version 2 and a few chunks of
-        version 3; a few layers of version 3 are loaded, and version 2 isn't
-        loaded over them. Cause: the newest one always ended the first.
+    def test_nearly_complete_version_is_preferred_to_newest(self):
+        """Guard against always replacing a version by the newest one.
+
+        Versions 2 and 3 are published in short succession; at the end of
+        version 1 most hosts hold most of version 2 and a few chunks of version
+        3. A few layers of version 3 were loaded, and version 2 is not loaded
+        over them: of 51 engines 11 served version 2 instead of 33.
         """
         versions = {'m@2': Version(full(44)), 'm@3': Version(full(9))}
         found = loads(versions, named_ago_s={2: 7.6, 3: 4.6})
         assert found == (2, OWN)
 
-    def test_one_that_ends_itself_soon_does_not(self):
+    def test_version_that_ends_soon_is_not_preferred(self):
         versions = {'m@2': Version(full(44)), 'm@3': Version(full(9))}
         found = loads(versions, named_ago_s={2: 7.6, 3: 6.6})
         assert found == (3, LayerRange(0, 3))
 
-    def test_layers_of_the_own_part_go_before_others(self):
+    def test_layers_of_the_own_range_are_preferred(self):
         held = full(9) | 0b111 << 18
         found = loads({'m@2': Version(held)}, named_ago_s={2: 7.6})
         assert found == (2, LayerRange(6, 7))
 
     @pytest.mark.parametrize('held', [0, 0b11])
-    def test_where_no_layer_is_held_nothing_is_loaded(self, held):
+    def test_nothing_is_loaded_if_no_layer_is_held(self, held):
         assert loads({'m@2': Version(held)}, named_ago_s={2: 7.6}) is None
 
-    def test_all_is_loaded_where_all_is_held(self):
+    def test_complete_version_is_loaded_completely(self):
         versions = {'m@2': Version(full(CHUNKS))}
         found = loads(versions, named_ago_s={2: 7.6})
         assert found == (2, LayerRange(0, 16))
--- a/tests/fleet/test_end_races.py
+++ b/tests/fleet/test_end_races.py
@@ -1,4 +1,4 @@
-"""Loads that meet at one engine near a version's end, and late looks."""
+"""Races of loads at one engine near a version's end, and stale checks."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet.ports import EngineReading
 from crowrudder_daemon.fleet_agent import _loader
-from crowrudder_daemon.fleet_agent._active_transfer import Collecting
+from crowrudder_daemon.fleet_agent._active_transfer import ActiveTransfer
 from crowrudder_daemon.fleet_agent._end_guard import EndGuard
 from crowrudder_daemon.fleet_agent._goal import Goal
 from crowrudder_daemon.fleet_agent._keeper import WeightsKeeper
-from crowrudder_daemon.fleet_agent._library import Part
+from crowrudder_daemon.fleet_agent._library import LayerPart
 from crowrudder_daemon.fleet_agent._loader import Load, Loader
 from crowrudder_model.fleet import LayerRange
 from crowrudder_standins._slots import Slots
@@ -35,17 +35,17 @@
 
 
 class TestClosing:
-    """What an engine takes in place of a version that ends."""
+    """Choice of the load that replaces a version at its end."""
 
-    def test_what_was_given_up_for_a_newer_version_closes_it_too(self):
-        """A request began on an old version after its end.
+    def test_dropped_version_may_replace_expiring_one(self):
+        """Guard against refusing to load chunks of a dropped transfer.
 
-        Symptom: a request waits at an engine, and begins on version 1 after
-        its end; the agent says every 0.2 s that the engine isn't closed yet.
-        Sequence: the host holds some layers of version 2, version 3 is named
-        0.6 s before version 1 ends, and nothing of it has come yet. Cause:
-        the transfer of version 2 is given up for the newer one; it was still
-        chosen for its chunks, and then refused for having been given up.
+        The host holds some layers of version 2; version 3 is published 0.6 s
+        before version 1 ends, and no chunk of it has arrived. The transfer of
+        version 2 is dropped for the newer one; it was still chosen for its
+        chunks and then refused because it was dropped. A queued request
+        started on version 1 after its end, and the agent logged every 0.2 s
+        that the engine was not closed yet.
         """
 
         async def check(world):
@@ -84,25 +84,24 @@
         [(0xFF, 0b11, 1.0, 2), (0x7F, 0b11, 1.0, 2), (0xFF, 0b11, 9.0, 3)],
         ids=['whole', 'nearly whole', 'about to end'],
     )
-    def test_what_can_serve_first_is_taken(
+    def test_version_that_can_serve_first_is_loaded(
         self, second, third, third_age_s, taken
     ):
-        """An engine served nothing for seconds.
-
-        Symptom: after version 1 has ended the engine holds a few layers of
-        version 3 and answers nothing until all of it has come, though
-        version 2 is whole at its host, or soon will be, and is in force for
-        seconds. Sequence: the source of version 3 is away, so that the host
-        reads version 2 as well; version 1 ends. Cause: the engine was given
-        the newest version of which anything was held, and no older one is
-        loaded over a part of a newer one.
+        """Guard against an engine that serves nothing for seconds.
+
+        The source of version 3 is down, so the host fetches version 2 as well;
+        version 1 ends. The engine loaded a few layers of version 3, the newest
+        version with any held chunk, and no older version is loaded over a
+        partial newer one. It served nothing until version 3 was complete,
+        though version 2 was complete at the host, or would be soon, and was
+        valid for seconds.
         """
 
         async def check():
             releases = Releases(window_s=9.7)
             releases.on_named('m', 2, age_s=9.5, now=clock_s())
             releases.on_named('m', 3, age_s=third_age_s, now=clock_s())
-            loader = stub(is_at_work=False, load_layers=AsyncMock())
+            loader = stub(is_loading=False, load_layers=AsyncMock())
             shelf = {'m@2': held(second), 'm@3': held(third)}
             guarding = asyncio.ensure_future(
                 guard_of(releases, loader, shelf).guard()
@@ -116,15 +115,15 @@
 
 
 class TestTurns:
-    """One load waits until another one has ended."""
+    """A load waits until another one has ended."""
 
-    def test_no_older_version_follows_a_part_of_a_newer_one(self):
-        """A version was loaded over a part of a newer one.
+    def test_older_version_does_not_follow_partial_newer_one(self):
+        """Guard against loading a version over a partial newer one.
 
-        Symptom: an engine changes from a part of version 3 to version 2.
-        Sequence: version 1 ends, and a part of 3 is being loaded; version 2
-        is whole at the host meanwhile, is found of use, and waits for its
-        turn. Cause: whether it is of use was looked at before the wait.
+        Version 1 ends and a layer range of version 3 is being loaded.
+        Meanwhile version 2 becomes complete at the host and waits to be
+        loaded. Whether it is worth loading was checked only before the wait,
+        so the engine changed from partial version 3 to version 2.
         """
 
         async def check():
@@ -134,7 +133,7 @@
                 loader.load_layers(Load('m', 3, 1), held(), LayerRange(0, 2))
             )
             await asyncio.sleep(0)
-            assert loader.is_at_work
+            assert loader.is_loading
             await loader.load(
                 Goal('m', 2, clock_s(), 3), stub(version=2), held()
             )
@@ -143,13 +142,13 @@
 
         run(check())
 
-    def test_no_part_follows_the_whole_version(self):
-        """An engine that held a version whole was told to load a part of it.
+    def test_layer_range_does_not_follow_complete_version(self):
+        """Guard against loading a layer range over the complete version.
 
-        Symptom: an engine that serves alone holds a third of its layers
-        again, and takes no requests. Sequence: the host's part is due, and
-        waits while all layers are being loaded. Cause: what the engine holds
-        was looked at before the wait.
+        The load of the host's layer range waits while all layers are being
+        loaded. What the engine holds was checked only before the wait, so an
+        engine with the complete version was reduced to a third of its layers
+        and accepted no requests.
         """
 
         async def check():
@@ -167,29 +166,31 @@
 
 
 class TestPartAfterClosing:
-    def test_the_hosts_part_follows_what_closed_the_engine(self):
-        """No path had all layers though the hosts held them together.
-
-        Symptom: after a version has ended everywhere, requests are refused
-        until a host holds all of the next one. Sequence: each engine is
-        closed with the few layers that its host holds then; the host's own
-        part of the model is complete a moment later. Cause: an engine that
-        holds any layers of the newest version was not given its part.
+    def test_assigned_range_is_loaded_after_closing(self):
+        """Guard against missing pipelines though the hosts hold all layers.
+
+        At the end of a version each engine is closed with the few layers that
+        its host holds; the layer range assigned to the host is complete
+        shortly afterwards. An engine that held any layers of the newest
+        version was not given its assigned range, so requests were refused
+        until a host held the complete version.
         """
 
         async def check():
             few = EngineReading(weights=3, layers=LayerRange(0, 2))
-            own = Part(layers=LayerRange(5, 10), chunks=0b11100, is_whole=False)
+            own = LayerPart(
+                layers=LayerRange(5, 10), chunks=0b11100, is_whole=False
+            )
             releases = named(2, 3)
             keeper = keeper_of(FakeEngine(few), releases, own)
-            newest = Collecting(
+            newest = ActiveTransfer(
                 Goal('m', 3, clock_s(), 3),
                 stub(version=3, artifact=stub(name='m@3')),
                 held(0b11101),
             )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.5):
-                    await keeper._look_at(newest, {newest: None})
+                    await keeper._check_transfers(newest, {newest: None})
             layers = [each.args[-1] for each in keeper.loads.call_args_list]
             assert layers == [own.layers]
 
@@ -197,16 +198,13 @@
 
 
 class TestOfNoUse:
-    def test_a_version_of_no_use_is_not_looked_at_without_a_pause(
-        self, monkeypatch
-    ):
-        """An agent used all of its processor's time for nothing.
+    def test_version_not_worth_loading_causes_no_busy_loop(self, monkeypatch):
+        """Guard against a busy loop over a version that is not worth loading.
 
-        Symptom: the loop wakes late on a host that has nothing to do.
-        Sequence: the engine holds a part of version 3 from the life of the
-        agent before; the agent that starts has heard of version 2 only, and
-        holds it. Cause: a version of no use is neither loaded nor waited
-        with.
+        The engine holds a partial version 3 from the agent's previous
+        incarnation; the restarted agent knows and holds only version 2. Such a
+        version was neither loaded nor followed by a wait, so the agent used
+        all of its CPU time and its event loop was late.
         """
         rounds = []
         pursue = WeightsKeeper._pursue
@@ -233,14 +231,13 @@
 
 
 class TestDrain:
-    def test_what_runs_on_a_part_may_end(self, monkeypatch):
-        """Streams on paths were cut off at once by a load.
-
-        Symptom: streams over several engines break off as one of them loads
-        a newer version, though most would have ended within the wait.
-        Sequence: the engine holds a part of version 2, version 3 is whole at
-        its host. Cause: the wait was bounded by the end of the version that
-        is held whole; there is none, and the end of that is long past.
+    def test_requests_on_partial_version_are_drained(self, monkeypatch):
+        """Guard against cutting off pipeline streams without a drain.
+
+        The engine holds a partial version 2, and version 3 is complete at its
+        host. The drain was bounded by the end of the completely held version;
+        there is none, and its end counts as long past. Streams over several
+        engines broke off although most would have ended within the drain.
         """
         monkeypatch.setattr(_loader, 'LEAVE_PATHS_S', 0)
 
@@ -261,16 +258,14 @@
 
 
 class TestNamedMeanwhile:
-    def test_a_version_named_during_the_wait_for_a_connection_counts(
-        self, monkeypatch
-    ):
-        """A request was sent on a version that ended at the same moment.
-
-        Symptom: a request begins on an old version after its end, and nothing
-        takes it back. Sequence: an engine is chosen, and while the connection
-        to it is made the entry hears of a newer version whose age leaves 0.5
-        s. Cause: what waits is told of new versions from the send on, and the
-        end that is looked at before the send is the one of the choice.
+    def test_version_published_while_connecting_is_respected(self, monkeypatch):
+        """Guard against sending a request on a version that just ended.
+
+        An engine is chosen, and while the entry connects to it a newer version
+        is published whose age leaves 0.5 s. Requests are notified of new
+        versions only after the send, and the check before the send used the
+        end known at the choice, so a request started on an old version after
+        its end and was not cancelled.
         """
         monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
 
@@ -300,11 +295,11 @@
 
 ALL = LayerRange(0, LAYERS)
 IDLE = stub(layers=LayerRange(), weights=0)
-"""An engine that holds nothing, by the records."""
+"""An engine that holds nothing according to the records."""
 
 
 class FakeEngine:
-    """An engine that carries an order out within 0.1 s."""
+    """An engine that executes an order within 0.1 s."""
 
     def __init__(self, reading):
         self.reading = reading
@@ -319,7 +314,7 @@
 
 
 def loader_of(engine, releases):
-    """Give a loader beside an engine, and nothing else."""
+    """Return a loader with an engine and no other collaborators."""
     watch = fake_watch(engine)
     view = stub(releases=releases, config=None)
     runtime = stub(log=logging.getLogger('crowrudder.test'), metrics=Mock())
@@ -328,7 +323,7 @@
 
 
 def named(*versions, age_s=0.0):
-    """Give versions that were named so long ago."""
+    """Return releases with versions of the given age."""
     releases = Releases(window_s=9.7)
     for version in versions:
         releases.on_named('m', version, age_s=age_s, now=clock_s())
@@ -336,7 +331,7 @@
 
 
 def guard_of(releases, loader, transfers):
-    """Give a guard of an engine that holds version 1, and has no own part."""
+    """Return a guard of an engine that holds version 1 and has no own range."""
     figures = stub(model='m', layers=LAYERS)
     service = stub(engine=figures)
     cfg = stub(service=lambda _: service)
@@ -347,14 +342,14 @@
         watch=fake_watch(FakeEngine(EngineReading(weights=1, layers=ALL))),
         library=stub(
             shelf=stub(transfers=transfers),
-            part=lambda *_: Part(),
+            part=lambda *_: LayerPart(),
         ),
         loader=loader,
     )
 
 
 def keeper_of(engine, releases, own):
-    """Give a keeper whose host has an own part, and its orders of parts."""
+    """Return a keeper with an assigned layer range; `loads` records its loads."""
     loader = stub(load_layers=AsyncMock())
     keeper: Any = WeightsKeeper(
         stub(log=logging.getLogger('crowrudder.test')),
@@ -370,7 +365,7 @@
 
 
 def held(chunks=ALL_CHUNKS):
-    """Give a transfer of which these chunks (bits) are held."""
+    """Return a transfer that holds these chunks (bits)."""
     return stub(
         count=CHUNKS,
         at_hand=chunks,
--- a/tests/fleet/test_ends_at_engines.py
+++ b/tests/fleet/test_ends_at_engines.py
@@ -1,4 +1,4 @@
-"""What waits at an engine whose version ends."""
+"""Requests queued at an engine whose version ends."""
 
 from __future__ import annotations
 
@@ -8,34 +8,33 @@
 import pytest
 
 from crowrudder_daemon._clock import clock_s
-from crowrudder_daemon.fleet_agent._goal import is_of_use
+from crowrudder_daemon.fleet_agent._goal import is_worth_loading
 from crowrudder_standins._slots import Slots
 from crowrudder_standins.fleet_replica import stream_of
 from crowrudder_standins.origin import Pacer
 from support.fleet_checks import checked, fault
 
 WINDOW_S = 2.0
-"""The old version ends so long after the new one was named."""
+"""Time from the publication of the new version to the end of the old one."""
 
 SLOW_LINK = 8192.0
-"""Bytes a second of the origin: a whole copy takes four seconds."""
+"""Bytes per second of the origin: a complete copy takes four seconds."""
 
 
 class TestQueues:
-    """Requests wait in an engine's queue as its version ends."""
+    """Requests in an engine's queue when its version ends."""
 
     @pytest.mark.parametrize('freed_after_s', [0.2, 1.0])
-    def test_none_begins_after_the_end(self, freed_after_s):
-        """Requests began on an old version after its end.
-
-        Symptom: 9.81 s after version 3 was named, of 9.7 s, two requests
-        begin on version 2. Sequence: an entry sends them 1.45 s before the
-        end to an engine that is forecast to begin at once; they wait there
-        for 1.55 s; the entry takes them back 0.3 s before the end, but its
-        close waits 0.7 s in a link full of other bytes. Cause: the end was
-        kept by the sender alone, and a constant stood against the sum of
-        what nobody bounds: the queue, and the way of the close. Proof: here
-        nothing is taken back at all.
+    def test_no_queued_request_starts_after_the_end(self, freed_after_s):
+        """Guard against requests that start on an old version after its end.
+
+        Two requests started on version 2 9.81 s after version 3 was published,
+        with a window of 9.7 s. An entry sent them 1.45 s before the end to an
+        engine forecast to start them at once, and they waited there for 1.55
+        s. The entry cancelled them 0.3 s before the end, but its close was
+        delayed 0.7 s on a congested link. The sender alone enforced the end,
+        with a constant margin against two unbounded delays: the queue and the
+        transmission of the close. In this test nothing is cancelled at all.
         """
 
         async def check(world):
@@ -52,12 +51,12 @@
             assert waits.status == 503
             assert waits.header('x-not-executed')
             assert not replica.runs_of('waits')
-            # What had begun is not cut off.
+            # A running request is not cut off.
             assert (await runs).body == stream_of('runs')
 
         checked(check, entries=1, plain=0, engines=0)
 
-    def test_the_engine_serves_the_new_version_in_the_end(self):
+    def test_engine_loads_new_version_eventually(self):
         async def check(world):
             replica, _ = await busy_engine(world)
             replica.faults.switch_on(fault('slow', 1, WINDOW_S))
@@ -71,29 +70,28 @@
 
 
 class TestUse:
-    def test_no_older_version_is_loaded_over_a_part_of_a_newer_one(self):
-        """A token was made by two versions of the weights.
-
-        Symptom: one engine of a path runs another version than the others.
-        Sequence: its host loads a third of version 3, tells it, and an entry
-        chooses the path; version 2 is whole at that host at last, and is
-        loaded over the part. Cause: a host that holds nothing whole took any
-        version for a gain.
+    def test_older_version_is_not_loaded_over_partial_newer_one(self):
+        """Guard against a token computed by two versions of the weights.
+
+        A host loads a third of version 3 and reports it, and an entry chooses
+        a pipeline with this engine. Version 2 then becomes complete at the
+        host and was loaded over the partial version, because a host without a
+        complete version considered any version worth loading.
         """
         ends_at = 100.0
-        assert not is_of_use(2, whole=0, held=3, ends_at=ends_at, now=50)
-        assert is_of_use(2, whole=0, held=2, ends_at=ends_at, now=50)
-        assert is_of_use(2, whole=1, held=1, ends_at=ends_at, now=50)
+        assert not is_worth_loading(2, whole=0, held=3, ends_at=ends_at, now=50)
+        assert is_worth_loading(2, whole=0, held=2, ends_at=ends_at, now=50)
+        assert is_worth_loading(2, whole=1, held=1, ends_at=ends_at, now=50)
 
     def test_no_version_is_loaded_after_its_end(self):
         ends_at = 100.0
-        assert is_of_use(2, whole=1, held=1, ends_at=ends_at, now=98)
-        assert not is_of_use(2, whole=1, held=1, ends_at=ends_at, now=99)
-        assert is_of_use(3, whole=1, held=1, ends_at=math.inf, now=99)
+        assert is_worth_loading(2, whole=1, held=1, ends_at=ends_at, now=98)
+        assert not is_worth_loading(2, whole=1, held=1, ends_at=ends_at, now=99)
+        assert is_worth_loading(3, whole=1, held=1, ends_at=math.inf, now=99)
 
 
 async def busy_engine(world):
-    """Give an engine of one slot, late with a version that another has."""
+    """Return an engine with one slot that lacks a version another one has."""
     world.add_replica('e0', 'llm', model='m', loaded=2)
     replica = await world.add_agent(0, loaded=1, version_s=WINDOW_S)
     replica.places = Slots(1, 4)
--- a/tests/fleet/test_origin_asked.py
+++ b/tests/fleet/test_origin_asked.py
@@ -1,4 +1,4 @@
-"""What an agent tells of why it asked the origin."""
+"""Log and metrics of an agent's reasons for reading from the origin."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from support.fleet import fleet
 
 
-def test_the_line_of_a_held_version_tells_why_the_origin_was_asked(caplog):
+def test_log_of_held_version_has_reasons_of_origin_reads(caplog):
     caplog.set_level('INFO', 'crowrudder.test')
 
     async def check():
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -1,4 +1,4 @@
-"""What an agent tells of its engine, and when its host loads a version."""
+"""Load reports of an agent, and the schedule of its host's loads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from crowrudder_core.catalog import Releases
-from crowrudder_daemon.fleet_agent._engine_watch import _Audience
+from crowrudder_daemon.fleet_agent._engine_watch import _Recipients
 from crowrudder_daemon.fleet_agent._load_schedule import (
     load_delay_s,
     reads_at_once,
@@ -17,34 +17,34 @@
 
 
 class TestWordsOnLoad:
-    """What an agent tells the entries of its own region and of others."""
+    """Load reports to entries of the agent's own region and of others."""
 
     def told(self, loads, *, only_urgent=False):
-        audience = _Audience(only_urgent=only_urgent)
+        recipients = _Recipients(only_urgent=only_urgent)
         found = []
         for number, load in enumerate(loads):
             now = number / 10
-            if audience.take(load, now):
+            if recipients.mark_if_due(load, now):
                 found.append(number)
         return found
 
-    def test_the_own_region_hears_every_change(self):
+    def test_own_region_receives_every_change(self):
         loads = [load_of(running=number) for number in range(10)]
         assert self.told(loads) == list(range(10))
 
-    def test_others_hear_of_it_from_the_entries_of_this_region(self):
+    def test_other_regions_receive_urgent_changes_only(self):
         loads = [load_of(running=number) for number in range(10)]
         assert self.told(loads, only_urgent=True) == [0]
 
     @pytest.mark.parametrize(
         'change', [{'weights': 2}, {'is_changing': True}, {'reachable': False}]
     )
-    def test_whether_they_may_send_is_told_at_once(self, change):
-        """A far entry would else send to an engine that is being loaded."""
+    def test_change_of_availability_is_sent_at_once(self, change):
+        """Otherwise a remote entry would send to an engine that is loading."""
         loads = [load_of(), load_of(**change)]
         assert self.told(loads, only_urgent=True) == [0, 1]
 
-    def test_a_word_that_stays_is_repeated(self):
+    def test_unchanged_report_is_resent(self):
         loads = [load_of()] * 10
         assert self.told(loads) == [0, 4, 8]
 
@@ -66,14 +66,13 @@
         assert delays[-1] <= 7
         assert len(set(delays)) == len(hosts)
 
-    def test_hosts_that_hold_it_late_share_out_what_is_left(self):
-        """Nearly all engines of a fleet stood still at once.
+    def test_late_hosts_spread_loads_over_rest_of_window(self):
+        """Guard against simultaneous loads of nearly all engines.
 
-        Symptom: nothing can be served for a second at each new version.
-        Sequence: links are slow, so all hosts hold the version within half a
-        second of each other, late in the window; the turns of most have
-        passed by then, so these load at once. Cause: turns were parts of the
-        whole window.
+        On slow links all hosts hold the version within half a second of each
+        other, late in the window. Load times were spread over the complete
+        window, so most had passed by then and these hosts loaded at once:
+        nothing was served for a second at each new version.
         """
         hosts = [f'10.0.0.{number}' for number in range(10)]
         delays = sorted(
@@ -87,12 +86,12 @@
         gaps = [b - a for a, b in itertools.pairwise(delays)]
         assert min(gaps) > 0.08
 
-    def test_those_who_load_first_read_more_at_once(self):
-        """Half of a fleet's engines loaded within the last two seconds.
+    def test_hosts_that_load_first_read_more_concurrently(self):
+        """Guard against half of the engines loading within two seconds.
 
-        Symptom: half of the streams are late as a version ends. Sequence: all
-        hosts hold the new one at the same time, late in its window. Cause:
-        links that were shared out evenly.
+        If link capacity is shared evenly, all hosts hold a new version at the
+        same time, late in its window, and half of the streams are late as the
+        old version ends.
         """
         hosts = [f'10.0.0.{number}' for number in range(30)]
         reads = {host: reads_at_once('m@2', host, hosts) for host in hosts}
@@ -105,7 +104,7 @@
         first = sorted(hosts, key=lambda host: delays[host])[:10]
         assert {host for host in hosts if reads[host] > 3} == set(first)
 
-    def test_each_version_has_another_order(self):
+    def test_load_order_differs_between_versions(self):
         hosts = [f'10.0.0.{number}' for number in range(10)]
 
         def first_of(version):
@@ -121,7 +120,7 @@
         assert len({first_of(version) for version in versions}) > 1
 
     @pytest.mark.parametrize('version', [2, 9])
-    def test_the_window_of_a_version_is_the_fleets(self, version):
+    def test_window_of_a_version_is_the_same_fleetwide(self, version):
         releases = Releases(8)
         releases.on_named('m', version, age_s=1, now=10)
         assert releases.ends_at('m', version - 1) == 17
--- a/tests/weights/test_adapter.py
+++ b/tests/weights/test_adapter.py
@@ -1,4 +1,4 @@
-"""An adapter beside its version: own chunks, own order, read back."""
+"""Adapters of a loaded version: own chunks, own order, verified state."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Engine:
-    """An engine that has the version, and takes adapters or ignores them."""
+    """An engine with a loaded version that loads or ignores adapters."""
 
     address = 'engine'
 
@@ -81,7 +81,7 @@
 
         run(check())
 
-    def test_that_came_with_the_version(self):
+    def test_adapter_included_in_version_has_no_chunks(self):
         async def check():
             engine = Engine()
             await loader(engine).load_adapter(GOAL, 'formal', None)
@@ -102,11 +102,11 @@
 
         run(check())
 
-    def test_engine_that_shows_no_adapter_is_an_error(self):
-        """An engine answers 200 and has no adapter.
+    def test_unloaded_adapter_after_order_is_an_error(self):
+        """Guard against treating the answer to an order as the engine's state.
 
-        Symptom: callers of the adapter get text of the plain version. Cause:
-        the answer to an order taken for the state.
+        The engine answers 200 but does not load the adapter; its callers got
+        text of the plain version.
         """
 
         async def check():
--- a/tests/weights/test_failures.py
+++ b/tests/weights/test_failures.py
@@ -1,4 +1,4 @@
-"""Fleets of real transfer aggregates over rate-limited links, under failure."""
+"""Fleets of real transfer aggregates over rate-limited links with failures."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def run(subject: Fleet, bounds: float = 8) -> Fleet:
-    """Run for at most so many times the bound; all live hosts are done."""
+    """Run for at most ``bounds`` times the bound; check all live hosts."""
     subject.run(until_us=int(subject.clock.now + bounds * BOUND_US))
     late = [host.name for host in subject.waiting() if host.alive]
     assert not late
@@ -38,13 +38,13 @@
         assert done.origin_copies <= copies
         assert done.region_copies <= 1.2
 
-    def test_reader_with_its_share_spent_passes(self):
-        """A host is first in order for more chunks than it may read.
+    def test_reader_with_spent_share_yields(self):
+        """Guard against a reader that exceeds its share and does not yield.
 
-        Symptom: all hosts lack one chunk until the window ends, at seven times the
-        bound. Sequence: 12 seeds share 8 chunks, so a share is 2 chunks, and
-        one host stands first for 3. Cause: it waited for a new share and
-        told nobody; the others waited for it, as it was alive.
+        12 seeds share 8 chunks, so a share is 2 chunks, and one host is the
+        first assigned reader of 3. It waited for a new share without notifying
+        the others, which waited for it because it was alive: all hosts lacked
+        one chunk until the window ended, at seven times the bound.
         """
         done = run(Fleet(Scene(hosts=12, chunks=8)))
         assert done.time_over_bound < 4
@@ -52,16 +52,16 @@
 
 class TestDeaths:
     def test_third_dies_in_the_middle(self):
-        """A third of the hosts dies while chunks are on their way.
+        """Guard against waiting for dead readers.
 
-        Symptom: chunks that only dead hosts held never come. Sequence: kill
-        at half of the bound. Cause: their readers are waited for.
+        A third of the hosts dies at half of the bound, with chunks in transit;
+        chunks that only dead hosts held never arrived.
         """
         done = run(fleet(killed_share=1 / 3, corrupted_share=0.01))
         assert done.origin_copies <= 1.5
 
     def test_every_reader_of_a_chunk_but_the_last_dies(self):
-        """All hosts but two die before anything was shared."""
+        """All hosts but two die before any chunk was shared."""
         subject = fleet()
         names = sorted(subject.hosts)[2:]
         subject.clock.at(MICROS, partial(subject.kill, names))
@@ -70,30 +70,30 @@
 
 class TestBadSources:
     def test_stalled_uplinks(self):
-        """A tenth of the hosts answers questions but sends no chunk.
+        """Guard against a transfer that never ends because of stalled hosts.
 
-        Symptom: the transfer never ends. Sequence: the only holder of a chunk
-        stalls; each of its answers cleared it of suspicion, so it was asked
-        again and nobody else read the chunk from the origin. Cause: a stall
-        counted like a lost question.
+        A tenth of the hosts answers inventory requests but sends no chunk. If
+        the only holder of a chunk stalls, each of its answers cleared its
+        suspicion, so it was asked again and no host read the chunk from the
+        origin. A stall counted like a lost request.
         """
         run(fleet(stalled_share=0.1))
 
     def test_stalled_host_that_is_no_neighbour(self):
-        """More hosts than a host has neighbours; a tenth sends no chunk.
+        """Guard against unnoticed stalls of hosts that are not neighbours.
 
-        Symptom: some hosts lack a chunk for good. Sequence: a stalled host
-        fetches it for its region; hosts that don't read from it can't notice
-        that it stalls, and count the chunk as held. Cause: reads from the
-        neighbours only.
+        There are more hosts than neighbours per host, and a tenth sends no
+        chunk. A stalled host fetches a chunk for its region; hosts that read
+        only from their neighbours cannot notice the stall, count the chunk as
+        held and lack it permanently.
         """
         run(Fleet(Scene(hosts=40, chunks=40, stalled_share=0.1)))
 
-    def test_source_that_always_spoils_is_shunned(self):
-        """One host corrupts every chunk that it sends.
+    def test_source_that_always_corrupts_is_avoided(self):
+        """Guard against repeated reads from a host that corrupts every chunk.
 
-        Symptom: it is asked for ever and takes slots and link. Cause: a
-        corrupted chunk was forgotten as soon as it was noticed.
+        A corrupted chunk was forgotten as soon as it was detected, so the host
+        was asked again and again and used up slots and link capacity.
         """
         subject = fleet()
         subject.hosts['h3'].spoils = True
@@ -107,14 +107,13 @@
 
 
 class TestOriginAway:
-    def test_chunks_lost_with_the_origin_come_soon_after_its_return(self):
-        """Every host lacked one chunk for as long as it waited.
-
-        Symptom: no host has the version 16 s after it was named. Sequence: the
-        origin crashes when 47 of 48 chunks have left it; each host tries the
-        last chunk once, is refused, and passes it on; the origin returns.
-        Cause: reads that were refused counted, so that those whose turn
-        it was had spent their share.
+    def test_chunks_lost_with_origin_arrive_soon_after_recovery(self):
+        """Guard against refused reads that count towards a host's share.
+
+        The origin crashes when 47 of 48 chunks have been read; each host tries
+        the last chunk once, is refused and passes it on; the origin returns.
+        Refused reads counted, so the assigned readers had spent their share,
+        and no host was complete 16 s after the publication.
         """
         subject = Fleet(
             Scene(
@@ -137,14 +136,15 @@
         assert not subject.waiting()
         assert subject.origin_copies <= 1.5
 
-    def test_a_spent_share_is_seen_also_by_one_that_failed(self):
-        """Every host lacked one chunk until the window ended.
+    def test_spent_share_is_recognised_after_failed_read(self):
+        """Guard against confusing a spent share with a failure of the origin.
 
-        Symptom: a version is whole nowhere for half a minute. Sequence: the
-        first in a chunk's order has spent its share and passes; the second
-        failed at the origin once. Cause: the second took the passing for the
-        origin's failure, left the chunk to the first, and as it read nothing
-        more from the origin, never learned that this one answers.
+        The first reader in a chunk's order has spent its share and passes; the
+        second failed at the origin once. The second mistook the pass for a
+        failure of the origin and left the chunk to the first; as it read
+        nothing more from the origin, it never learned that the origin answers
+        again. Every host lacked one chunk for half a minute, until the window
+        ended.
         """
         subject = Fleet(Scene(hosts=4, chunks=8))
         some = subject.hosts['h0'].transfer.origin
@@ -156,11 +156,11 @@
         subject.run(until_us=5 * subject.scene.bound_us)
         assert not subject.waiting()
 
-    def test_origin_comes_back(self):
-        """The store and the origin refuse connections for 20 s.
+    def test_origin_recovers(self):
+        """Guard against spending the read cap on refused connections.
 
-        Symptom: after the outage nobody reads, or all read at once. Cause:
-        a share of the cap spent on refused connections.
+        The store and the origin refuse connections for 20 s; after the outage
+        no host read, or all read at once.
         """
         subject = fleet()
         subject.origin_up = False
@@ -172,10 +172,11 @@
 
 class TestDifferingLists:
     def test_lists_lag_both_ways(self):
-        """Lists name hosts that are gone, and lack hosts that are there.
+        """Guard against wrong assignments from differing host lists.
 
-        Symptom: chunks are read twice from the origin, or by nobody. Cause:
-        turns that every process works out from its own list.
+        Lists contain hosts that are gone and lack hosts that exist. Every
+        process computes the assigned readers from its own list, so chunks were
+        read twice from the origin or by no host.
         """
         subject = fleet()
         places = subject.places
@@ -192,10 +193,10 @@
         assert done.origin_copies <= 2
 
     def test_host_joins_late(self):
-        """A host is listed after the others are done.
+        """Guard against a copy from the origin for a host that joins late.
 
-        Symptom: it takes a copy from the origin. Cause: chunks that the
-        others no longer keep or offer.
+        The host is listed after the others are complete, and these no longer
+        kept or offered their chunks.
         """
         done = run(fleet())
         before = done.origin_copies
@@ -206,22 +207,23 @@
 
 
 class TestSplitFleet:
-    def test_both_sides_load(self):
-        """The fleet is cut in two halves from the start.
+    def test_both_partitions_load(self):
+        """Guard against a network partition that stops or multiplies reads.
 
-        Symptom: one side waits for readers on the other, or each host reads
-        all for itself. Cause: turns without suspicion, or without a cap.
+        The fleet is split in two halves from the start. Without suspicion one
+        side waited for assigned readers on the other; without a cap each host
+        read everything itself.
         """
         subject = fleet()
         subject.sides = {f'h{n}': n // 6 for n in range(HOSTS)}
         done = run(subject)
         assert done.origin_copies <= 2.2
 
-    def test_six_sides_stay_below_the_cap(self):
-        """Six sides of two hosts each: more copies wanted than the cap.
+    def test_six_partitions_stay_below_the_cap(self):
+        """Six sides of two hosts each want more copies than the cap allows.
 
-        In one window nobody passes its share; the rest comes once the split
-        is healed.
+        Within one window no host exceeds its share; the rest is read once the
+        partition has healed.
         """
         subject = fleet()
         subject.sides = {f'h{n}': n // 2 for n in range(HOSTS)}
@@ -230,7 +232,7 @@
         subject.sides = {}
         run(subject)
 
-    def test_regions_lose_each_other_midway(self):
+    def test_partition_between_regions_midway(self):
         subject = fleet()
         cut = {f'h{n}': n % 2 for n in range(HOSTS)}
         subject.clock.at(5 * MICROS, partial(setattr, subject, 'sides', cut))
@@ -238,10 +240,10 @@
 
 
 class TestFrozenHost:
-    def test_frozen_host_holds_up_nobody_and_goes_on(self):
-        """A reader of the origin is frozen for 30 s, then wakes.
+    def test_paused_host_blocks_no_other_and_resumes(self):
+        """Guard against a paused reader that blocks others or uses stale state.
 
-        Symptom: the others wait for its chunks, or it acts on what it knew.
+        A reader of the origin is paused for 30 s and then resumes.
         """
         subject = fleet()
         frozen = subject.hosts['h4']
--- a/tests/weights/test_service.py
+++ b/tests/weights/test_service.py
@@ -18,7 +18,7 @@
 from crowrudder_daemon.chunks._stock import (
     EngineNote,
     UploadSlots,
-    stock_of,
+    build_inventory,
 )
 from crowrudder_daemon.chunks._uploads import ChunkService
 from crowrudder_model import PeerLostError, UpstreamError
@@ -30,7 +30,7 @@
 
 
 class Shelf:
-    """The one version that a host holds."""
+    """A shelf with one version."""
 
     def __init__(self, transfer):
         self.host = transfer.host
@@ -42,7 +42,7 @@
 
 
 class Watch:
-    """Remembers what happened to reads."""
+    """Records the outcomes of reads."""
 
     def __init__(self):
         self.seen = []
@@ -76,11 +76,10 @@
 
 class TestUploadSlots:
     def test_slot_is_held_until_the_last_piece(self):
-        """Slots were counted but never taken.
+        """Guard against releasing a slot before the chunk is sent.
 
-        Symptom: one host sends to all at once, and each chunk arrives late.
-        Sequence: several asks before the first chunk has been sent. Cause:
-        the answer was made, and the slot free again, before a byte went out.
+        The slot was free again as soon as the answer was built, so several
+        requests were served at once and each chunk arrived late.
         """
 
         async def check():
@@ -96,7 +95,7 @@
 
         run(check())
 
-    def test_slot_is_free_when_the_reader_leaves(self):
+    def test_slot_is_released_when_reader_disconnects(self):
         async def check():
             slots = UploadSlots(1)
             sending = service(holder(), slots).on_chunk(ask(), None)
@@ -118,7 +117,7 @@
 
 
 class Peers:
-    """One other host, which may refuse, lose or never send chunks."""
+    """Another host, which may refuse, lose or never send chunks."""
 
     def __init__(self, *, refusals=0, stalls=False, losses=0):
         self.transfer = holder()
@@ -128,7 +127,7 @@
         self.refused = 0
 
     def stock_now(self):
-        return stock_of(
+        return build_inventory(
             'b',
             'old',
             self.transfer,
@@ -154,7 +153,7 @@
 
 
 class Origin:
-    """An origin that can't be reached, or one that answers."""
+    """An origin that is unreachable or answers."""
 
     def __init__(self, *, up=False):
         self.up = up
@@ -172,7 +171,7 @@
 
 
 class CountingLink(LinkShare):
-    """Counts the bytes that were reserved."""
+    """A link that counts the reserved bytes."""
 
     def __init__(self, **more):
         super().__init__(**more)
@@ -210,12 +209,12 @@
 
 
 class TestCollector:
-    def test_refused_reads_take_nothing_of_the_link(self):
-        """The link was reserved before the source had said yes.
+    def test_refused_reads_reserve_no_link_capacity(self):
+        """Guard against reserving the link before the source accepts.
 
-        Symptom: 24 agents moved weights at two thirds of their links.
-        Sequence: a source is busy, the read ends, its share of the link is
-        gone. Cause: bytes were counted when asked for, not when they came.
+        Bytes were counted when requested, not when received, so a read refused
+        by a busy source used up link capacity: 24 agents transferred weights
+        at two thirds of their link rate.
         """
         downlink = CountingLink(rate=RATE, burst=0)
 
@@ -227,7 +226,7 @@
 
         run(check())
 
-    def test_lost_reads_are_made_again(self):
+    def test_lost_reads_are_retried(self):
         async def check():
             peers = Peers(losses=2)
             downlink = LinkShare(rate=RATE, burst=0)
@@ -237,7 +236,7 @@
 
         run(check())
 
-    def test_reads_at_the_origin_are_told(self):
+    def test_origin_reads_are_recorded(self):
         async def check():
             downlink = LinkShare(rate=RATE, burst=0)
             made, transfer = collector(
@@ -250,11 +249,11 @@
 
         run(check())
 
-    def test_source_that_never_sends_is_given_up(self):
-        """A peer takes the question and sends nothing.
+    def test_read_from_silent_source_times_out(self):
+        """Guard against waiting forever for a peer that sends nothing.
 
-        Symptom: the transfer waits for ever. Cause: no limit on the time
-        without a byte.
+        The peer accepts the request but sends no bytes; the time without a
+        byte was unlimited.
         """
 
         async def check():
@@ -280,14 +279,13 @@
 
         run(check())
 
-    def test_end_at_any_step_is_an_end(self):
-        """A host that is told to stop goes on for ever.
+    def test_cancellation_at_any_step_takes_effect(self):
+        """Guard against a lost cancellation.
 
-        Symptom: an agent was asked to leave and still ran after its drain and
-        five seconds more; its successor found the port taken. Sequence: a
-        read ends and wakes the transfer, and the task is cancelled in the
-        same turn of the loop. Cause: `asyncio.wait_for` gives the result of
-        what it waited for and forgets the cancellation.
+        A read ends and wakes the collector, and the task is cancelled in the
+        same iteration of the event loop. `asyncio.wait_for` returned the
+        result and lost the cancellation: an agent still ran five seconds after
+        its drain, and its successor found the port in use.
         """
 
         async def ended_after(steps):
--- a/tests/weights/test_shelf.py
+++ b/tests/weights/test_shelf.py
@@ -1,4 +1,4 @@
-"""The versions that a host holds, beside those that it wants."""
+"""Wanted and unwanted versions that a host holds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from crowrudder_core.transfer import ManifestError
 from crowrudder_daemon.chunks import Artifact
-from crowrudder_daemon.chunks._shelf import MOST_SPARE, Shelf
+from crowrudder_daemon.chunks._shelf import MAX_SPARE_VERSIONS, Shelf
 from crowrudder_daemon.process import Runtime
 from crowrudder_daemon.settings import (
     PlatformSection,
@@ -51,14 +51,16 @@
 
 
 class TestShelf:
-    def test_wanted_versions_are_never_forgotten(self):
-        """A service with many adapters.
+    def test_wanted_versions_are_never_dropped(self):
+        """Guard against dropping a wanted version in a service with adapters.
 
-        Symptom: a version under way is dropped, for ever. Sequence: its
-        adapters are opened after it. Cause: the oldest was taken for spare.
+        The adapters are opened after their version, which was then treated as
+        the oldest spare one and dropped for good while it was being fetched.
         """
         subject = shelf()
-        names = [f'adapter-{number}' for number in range(MOST_SPARE + 4)]
+        names = [
+            f'adapter-{number}' for number in range(MAX_SPARE_VERSIONS + 4)
+        ]
         subject.drop_others(frozenset(('old', *names)))
         base = put(subject, 'old', OLD)
         for name in names:
@@ -68,11 +70,11 @@
 
     def test_spare_versions_are_bounded(self):
         subject = shelf()
-        for number in range(MOST_SPARE + 4):
+        for number in range(MAX_SPARE_VERSIONS + 4):
             name = f'v{number}'
             subject.drop_others(frozenset((name,)))
             fill(put(subject, name, NEW), NEW)
-        assert len(subject.transfers) <= MOST_SPARE + 1
+        assert len(subject.transfers) <= MAX_SPARE_VERSIONS + 1
 
     def test_manifest_of_another_name_is_refused(self):
         subject = shelf()
