--- a/packages/model/src/crowrudder_model/__init__.py
+++ b/packages/model/src/crowrudder_model/__init__.py
@@ -1,6 +1,6 @@
-"""Declared configuration, bundles, values and messages between processes.
+"""Declared configuration, bundles, shared values and messages.
 
-Nothing here does input or output, reads a clock or draws a random number.
+Nothing here does input or output, reads a clock or uses random numbers.
 """
 
 from crowrudder_model._codec import (
--- a/packages/model/src/crowrudder_model/_codec.py
+++ b/packages/model/src/crowrudder_model/_codec.py
@@ -10,15 +10,18 @@
 from crowrudder_model.messages._gossip import Datagram
 
 _Message = TypeVar('_Message')
-# Keys that this release doesn't know are skipped by recursion.
-_UNREADABLE = (msgspec.MsgspecError, ValueError, TypeError, RecursionError)
-_encoder = msgspec.msgpack.Encoder()
-_datagrams: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Datagram)
+# The decoder skips unknown keys recursively, so that deeply nested values
+# raise RecursionError.
+_DECODE_ERRORS = (msgspec.MsgspecError, ValueError, TypeError, RecursionError)
+_message_encoder = msgspec.msgpack.Encoder()
+_datagram_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(
+    Datagram
+)
 
 
 def encode_message(message: object) -> bytes:
-    """Encode an attrs message to bytes."""
-    return _encoder.encode(message)
+    """Encode a message to MessagePack bytes."""
+    return _message_encoder.encode(message)
 
 
 def decode_message(
@@ -27,7 +30,7 @@
     *,
     peer: str = '',
 ) -> _Message:
-    """Decode bytes to a message of the given class.
+    """Decode a message of the given class.
 
     Raises
     ------
@@ -36,7 +39,7 @@
     """
     try:
         return msgspec.msgpack.decode(payload, type=kind)
-    except _UNREADABLE as exc:
+    except _DECODE_ERRORS as exc:
         raise MalformedMessageError(
             f'not a {kind.__name__}: {exc}; check that both run one release',
             step='decode',
@@ -45,16 +48,16 @@
 
 
 def decode_datagram(payload: bytes, *, peer: str = '') -> Datagram:
-    """Decode a datagram, which says itself which kind it is.
+    """Decode a datagram; its tag selects the message class.
 
     Raises
     ------
     MalformedMessageError
-        When the bytes are none of the kinds.
+        When the bytes are not a datagram of a known class.
     """
     try:
-        return _datagrams.decode(payload)
-    except _UNREADABLE as exc:
+        return _datagram_decoder.decode(payload)
+    except _DECODE_ERRORS as exc:
         raise MalformedMessageError(
             f'not a datagram: {exc}; check that both run one release',
             step='decode',
--- a/packages/model/src/crowrudder_model/_errors.py
+++ b/packages/model/src/crowrudder_model/_errors.py
@@ -1,19 +1,19 @@
-"""The exception tree: every error names the step and the peer it arose at."""
+"""The exception hierarchy: each error has the step and peer where it arose."""
 
 from __future__ import annotations
 
 
 class CrowrudderError(Exception):
-    """Base of all errors that crowrudder raises on purpose.
+    """Base class of all errors that crowrudder raises.
 
     Parameters
     ----------
     message
-        What went wrong and what to do about it.
+        What failed, and how to fix it.
     step
-        The step of the work at which it arose, such as ``permit``.
+        The operation that failed, such as ``permit``.
     peer
-        ``IP:PORT`` or name of the other side; empty where there is none.
+        ``IP:PORT`` or name of the peer; empty if there is none.
     """
 
     def __init__(self, message: str, *, step: str, peer: str = '') -> None:
@@ -23,7 +23,7 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        """Give the message with the step and the peer in front."""
+        """Return the message, prefixed with the step and the peer."""
         where = f'{self.step} at {self.peer}' if self.peer else self.step
         return f'{where}: {self.message}'
 
@@ -37,8 +37,8 @@
 
 
 class UpstreamError(CrowrudderError):
-    """An engine, a plain service or an outside system misbehaved."""
+    """An engine, a plain service or an external system failed."""
 
 
 class InvariantError(CrowrudderError):
-    """A rule that must always hold would be broken by the next act."""
+    """The next operation would violate an invariant."""
--- a/packages/model/src/crowrudder_model/_inflate.py
+++ b/packages/model/src/crowrudder_model/_inflate.py
@@ -1,4 +1,4 @@
-"""Bytes that another process has deflated."""
+"""Bounded decompression of data from other processes."""
 
 from __future__ import annotations
 
@@ -8,30 +8,33 @@
 
 
 def inflate(body: bytes, *, most_bytes: int, peer: str) -> bytes:
-    """Inflate, but never into more than any honest sender has deflated.
+    """Decompress a zlib stream of bounded size.
 
     Parameters
     ----------
     most_bytes
-        Longest result. Without a bound some KB from a peer could become more
-        memory than the process may have.
+        Maximum size of the result. Without a bound, a few KB from a peer
+        could expand to more memory than the process may use.
 
     Raises
     ------
     MalformedMessageError
-        When it isn't a whole deflated value of at most that size, alone.
+        When ``body`` isn't exactly one complete zlib stream of at most that
+        size.
     """
     inflator = zlib.decompressobj()
     try:
         payload = inflator.decompress(body, most_bytes)
     except zlib.error as exc:
-        raise _refused(str(exc), peer) from exc
+        raise _inflate_error(str(exc), peer) from exc
     if not inflator.eof:
-        raise _refused(f'cut off, or over {most_bytes} bytes', peer)
+        raise _inflate_error(
+            f'truncated, or larger than {most_bytes} bytes', peer
+        )
     if inflator.unused_data:
-        raise _refused('followed by something else', peer)
+        raise _inflate_error('followed by trailing data', peer)
     return payload
 
 
-def _refused(reason: str, peer: str) -> MalformedMessageError:
+def _inflate_error(reason: str, peer: str) -> MalformedMessageError:
     return MalformedMessageError(reason, step='inflate', peer=peer)
--- a/packages/model/src/crowrudder_model/_member.py
+++ b/packages/model/src/crowrudder_model/_member.py
@@ -1,4 +1,4 @@
-"""Hosts as the platform's member list names them."""
+"""The platform's member list and its hosts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class MembersError(ValueError):
-    """A member list that can't be read; the list in use stays."""
+    """A member list that is invalid; the list in use stays in force."""
 
 
 @frozen
@@ -33,12 +33,12 @@
 
     @property
     def rpc_address(self) -> str:
-        """Where other crowrudder processes reach it."""
+        """Address for RPC from other crowrudder processes."""
         return f'{self.address}:{self.rpc_port}'
 
     @property
     def admin_address(self) -> str:
-        """Where health, metrics, status and audit are."""
+        """Address of the health, metrics, status and audit endpoints."""
         return f'{self.address}:{self.admin_port}'
 
 
@@ -49,12 +49,12 @@
 
 
 def decode_members(encoded: bytes) -> tuple[int, tuple[Member, ...]]:
-    """Read a member list: its revision, and the members in it.
+    """Decode a member list and return its revision and members.
 
     Raises
     ------
     MembersError
-        when it is garbage or half, or names a host twice.
+        When it is malformed or truncated, or lists a host twice.
     """
     try:
         found = msgspec.json.decode(encoded, type=_MemberList)
--- a/packages/model/src/crowrudder_model/_outcome.py
+++ b/packages/model/src/crowrudder_model/_outcome.py
@@ -1,4 +1,4 @@
-"""The four outcomes that a caller can be told."""
+"""The four outcomes of a request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.Enum):
-    """How a request ended, as the caller is told.
+    """How a request ended, as reported to the caller.
 
     Example
     -------
--- a/packages/model/src/crowrudder_model/_rendezvous.py
+++ b/packages/model/src/crowrudder_model/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous order: the same choice everywhere, with few moves."""
+"""Rendezvous hashing: all processes choose alike, and few choices move."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def score(key: str, node: str) -> int:
-    """Weigh a node for a key; the highest score goes first."""
-    # The bar can't stand in a name, so no two pairs share their bytes.
+    """Compute the score of a node for a key; the highest ranks first."""
+    # Names can't contain the bar, so different pairs have different bytes.
     return xxhash.xxh3_64_intdigest(f'{key}|{node}'.encode())
 
 
 def ranked(key: str, nodes: Iterable[str]) -> list[str]:
-    """Order the nodes for a key, best first; equal scores by name."""
+    """Return the nodes by descending score for a key, ties by name."""
     return sorted(nodes, key=lambda node: (-score(key, node), node))
--- a/packages/model/src/crowrudder_model/declared/__init__.py
+++ b/packages/model/src/crowrudder_model/declared/__init__.py
@@ -1,4 +1,4 @@
-"""What users declare: parts, bundle, checks and placement."""
+"""The declared configuration: its parts, bundle, checks and placement."""
 
 from crowrudder_model.declared._bundle import (
     MOST_BUNDLE_BYTES,
--- a/packages/model/src/crowrudder_model/declared/_bundle.py
+++ b/packages/model/src/crowrudder_model/declared/_bundle.py
@@ -1,4 +1,4 @@
-"""The bundle: a declaration in its one canonical form, with its digest."""
+"""The bundle: a declaration in its canonical form, with its digest."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from crowrudder_model.declared._checks import faults_of
 from crowrudder_model.declared._declaration import Declaration
-from crowrudder_model.declared._sections import in_order
+from crowrudder_model.declared._sections import canonical_order
 
 MOST_BUNDLE_BYTES = 1_000_000
-SHOWN_FAULTS = 5
+MAX_REPORTED_FAULTS = 5
 
 
 class BundleError(ValueError):
-    """A value that can't be a bundle; the text says why.
+    """A value that isn't a valid bundle; the message says why.
 
-    The bundle in force stays as it is.
+    The bundle in force stays in force.
     """
 
 
 @frozen
 class Bundle:
-    """A declaration and the digest that names it.
+    """A declaration and the digest that identifies it.
 
     >>> len(bundle_of(Declaration(1)).digest)
     64
@@ -35,24 +35,26 @@
 
 
 def bundle_of(declaration: Declaration) -> Bundle:
-    """Bring a declaration into its canonical order, and name it."""
-    ordered = in_order(declaration)
+    """Return the bundle of a declaration: canonical order and digest."""
+    ordered = canonical_order(declaration)
     return Bundle(ordered, digest_of(ordered))
 
 
 def digest_of(declaration: Declaration) -> str:
-    """Give the SHA-256 of the canonical declaration."""
-    canonical = msgspec.json.encode(in_order(declaration), order='sorted')
+    """Return the SHA-256 of the canonical form of a declaration."""
+    canonical = msgspec.json.encode(
+        canonical_order(declaration), order='sorted'
+    )
     return hashlib.sha256(canonical).hexdigest()
 
 
 def encode_bundle(declaration: Declaration) -> bytes:
-    """Write the value that is published.
+    """Encode a declaration as the value to publish.
 
     Raises
     ------
     BundleError
-        when the value is over a megabyte.
+        When the value is larger than a megabyte.
     """
     encoded = msgspec.json.encode(bundle_of(declaration), order='sorted')
     _refuse_oversize(encoded)
@@ -60,20 +62,20 @@
 
 
 def decode_bundle(encoded: bytes) -> Bundle:
-    """Read a published value as a whole, or refuse it as a whole.
+    """Decode and check a published value; reject it if any part is invalid.
 
     Raises
     ------
     BundleError
-        when the value is garbage, half, too large, or against the rules.
+        When the value is malformed, truncated, too large, or breaks a rule.
     """
     _refuse_oversize(encoded)
     try:
         bundle = msgspec.json.decode(encoded, type=Bundle)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
         raise BundleError(f'not a bundle: {exc}') from exc
-    # A half value that is still JSON, and a key that this release doesn't
-    # know, both show here: the digest is taken over what was understood.
+    # The digest covers only what was decoded, so that this check also finds a
+    # truncated value that is still JSON, and a key unknown to this release.
     digest = digest_of(bundle.declaration)
     if digest != bundle.digest:
         raise BundleError(
@@ -81,7 +83,7 @@
             f'its content has {digest!r}',
         )
     _refuse_faults(bundle.declaration)
-    return evolve(bundle, declaration=in_order(bundle.declaration))
+    return evolve(bundle, declaration=canonical_order(bundle.declaration))
 
 
 def _refuse_oversize(encoded: bytes) -> None:
@@ -95,5 +97,7 @@
 def _refuse_faults(declaration: Declaration) -> None:
     faults = faults_of(declaration)
     if faults:
-        shown = '; '.join(str(fault) for fault in faults[:SHOWN_FAULTS])
-        raise BundleError(f'{len(faults)} faults: {shown}')
+        reported = '; '.join(
+            str(fault) for fault in faults[:MAX_REPORTED_FAULTS]
+        )
+        raise BundleError(f'{len(faults)} faults: {reported}')
--- a/packages/model/src/crowrudder_model/declared/_checks.py
+++ b/packages/model/src/crowrudder_model/declared/_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a whole declaration: each key's rule, then what must agree."""
+"""Checks of a declaration: the rule of each key, then cross-references."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from crowrudder_model.declared._rules import RULE, Rule
 
-# Shares are sums of decimals: a third three times may end above one.
+# Rounding of floats: three shares of a third may sum to more than one.
 SHARE_SLACK = 1e-9
 
 
@@ -36,7 +36,7 @@
     file: str = field(default='', kw_only=True)
 
     def __str__(self) -> str:
-        """Say where, what was found and what is allowed."""
+        """Return the location, the value found and the allowed values."""
         where = f'{self.file}: ' if self.file else ''
         where += f'[{self.section}] ' if self.section else ''
         where += f'{self.key}: ' if self.key else ''
@@ -44,17 +44,17 @@
 
 
 def section_of(part: Part | Declaration) -> str:
-    """Name the section of the files that declares the part."""
+    """Return the name of the section that declares the part."""
     if isinstance(part, Declaration):
         return 'fleet'
     return f'{type(part).__name__.lower()}:{part.name}'
 
 
 def faults_of(declaration: Declaration) -> tuple[Fault, ...]:
-    """Give every fault of a declaration that has its own text alone."""
+    """Return all faults that can be found in the declaration alone."""
     return (
         *_rule_faults(declaration),
-        *_doubles(declaration),
+        *_duplicates(declaration),
         *_references(declaration),
         *_share_faults(declaration),
     )
@@ -64,26 +64,26 @@
     for part in (declaration, *declaration.parts()):
         for attribute in fields(type(part)):
             rule = attribute.metadata.get(RULE)
-            if rule is None or _is_left_out(part, attribute.name, rule):
+            if rule is None or _is_omitted(part, attribute.name, rule):
                 continue
             found = getattr(part, attribute.name)
             if not rule.accepts(found):
                 yield Fault(
                     section_of(part),
                     attribute.name,
-                    shown(found),
+                    format_value(found),
                     rule.kind.allowed,
                 )
 
 
-def _is_left_out(part: object, key: str, rule: Rule) -> bool:
-    """Tell whether a plain service rightly lacks an engine's key."""
+def _is_omitted(part: object, key: str, rule: Rule) -> bool:
+    """Return whether a plain service omits a key that only engines need."""
     if not isinstance(part, Service) or part.kind != 'plain':
         return False
     return rule.only_for == 'engine' and not getattr(part, key)
 
 
-def _doubles(declaration: Declaration) -> Iterator[Fault]:
+def _duplicates(declaration: Declaration) -> Iterator[Fault]:
     sections = Counter(section_of(part) for part in declaration.parts())
     for section, count in sections.items():
         if count > 1:
@@ -132,7 +132,10 @@
 
 
 def _plain_faults(service: Service) -> Iterator[Fault]:
-    """Find what a plain service can't follow: its agents say where it is."""
+    """Find engine-only keys in a plain service.
+
+    The settings of its agents say where it runs, so these keys have no effect.
+    """
     for attribute in fields(Service):
         rule = attribute.metadata[RULE]
         found = getattr(service, attribute.name)
@@ -140,7 +143,7 @@
             yield Fault(
                 section_of(service),
                 attribute.name,
-                shown(found),
+                format_value(found),
                 'nothing in a service of kind `plain`',
             )
 
@@ -191,6 +194,6 @@
             )
 
 
-def shown(found: object) -> str:
-    """Write a value as the files would."""
+def format_value(found: object) -> str:
+    """Return a value as it is written in the files."""
     return ', '.join(found) if isinstance(found, tuple) else str(found)
--- a/packages/model/src/crowrudder_model/declared/_declaration.py
+++ b/packages/model/src/crowrudder_model/declared/_declaration.py
@@ -1,4 +1,4 @@
-"""Everything that is declared, as one value."""
+"""The complete declared configuration as one value."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from crowrudder_model.declared._rules import Digest, Whole, rule
 
-MOST_GENERATION = (1 << 53) - 1
+MAX_GENERATION = (1 << 53) - 1
 
 PartT = TypeVar('PartT', Service, Model, Version, Adapter, Customer)
 
@@ -26,8 +26,7 @@
 class Declaration:
     """A generation of the declared configuration.
 
-    The parts stand in the order of their names once they come out of
-    the files or out of a bundle.
+    Parts that were read from files or from a bundle are sorted by name.
 
     >>> Declaration(1, models=(Model('listing'),)).model('listing')
     Model(name='listing')
@@ -35,7 +34,7 @@
 
     generation: int = field(
         metadata=rule(
-            Whole(1, MOST_GENERATION),
+            Whole(1, MAX_GENERATION),
             'counts up; the higher one is in force',
         ),
     )
@@ -53,32 +52,32 @@
     customers: tuple[Customer, ...] = ()
 
     def service(self, name: str) -> Service | None:
-        """Look up a service by its name."""
+        """Return the service with a name, or None."""
         return _named(self.services, name)
 
     def service_of_model(self, model: str) -> Service | None:
-        """Look up the one service that serves a model."""
+        """Return the only service that serves a model, or None."""
         serving = (item for item in self.services if item.model == model)
         return next(serving, None) if model else None
 
     def model(self, name: str) -> Model | None:
-        """Look up a model by its name."""
+        """Return the model with a name, or None."""
         return _named(self.models, name)
 
     def version(self, name: str) -> Version | None:
-        """Look up a version by its name."""
+        """Return the version with a name, or None."""
         return _named(self.versions, name)
 
     def adapter(self, name: str) -> Adapter | None:
-        """Look up an adapter by its name."""
+        """Return the adapter with a name, or None."""
         return _named(self.adapters, name)
 
     def customer(self, name: str) -> Customer | None:
-        """Look up a customer by its name."""
+        """Return the customer with a name, or None."""
         return _named(self.customers, name)
 
     def parts(self) -> tuple[Part, ...]:
-        """Give every declared part, kind after kind."""
+        """Return all declared parts, grouped by kind."""
         return (
             *self.services,
             *self.models,
--- a/packages/model/src/crowrudder_model/declared/_delta.py
+++ b/packages/model/src/crowrudder_model/declared/_delta.py
@@ -1,4 +1,4 @@
-"""What changed between two bundles, small enough to send for each change."""
+"""Deltas between bundles, small enough to send for each change."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @frozen(kw_only=True)
 class BundleDelta:
-    """The way from one bundle to another.
+    """The delta from one bundle to another.
 
     ``put`` carries the generation, the parent and the parts that are new or
-    differ; ``dropped`` names the sections that are gone.
+    changed; ``dropped`` names the sections that were removed.
     """
 
     put: Declaration
@@ -28,10 +28,10 @@
 
 
 def delta_between(before: Bundle, after: Bundle) -> BundleDelta:
-    """Work out what turns one bundle into the other.
+    """Compute the delta that turns one bundle into the other.
 
-    >>> way = delta_between(bundle_of(Declaration(1)), bundle_of(Declaration(2)))
-    >>> way.put.generation
+    >>> old, new = bundle_of(Declaration(1)), bundle_of(Declaration(2))
+    >>> delta_between(old, new).put.generation
     2
     """
     old, new = before.declaration, after.declaration
@@ -54,22 +54,22 @@
 
 
 def apply_delta(before: Bundle, delta: BundleDelta, *, digest: str) -> bytes:
-    """Give the whole value that the delta leads to.
+    """Return the encoded bundle that results from a delta.
 
     Raises
     ------
     BundleError
-        when the result isn't the bundle with that digest.
+        When the result doesn't have that digest.
     """
     put, old = delta.put, before.declaration
-    gone = frozenset(delta.dropped)
+    dropped_sections = frozenset(delta.dropped)
     after = evolve(
         put,
-        services=_merged(old.services, put.services, gone),
-        models=_merged(old.models, put.models, gone),
-        versions=_merged(old.versions, put.versions, gone),
-        adapters=_merged(old.adapters, put.adapters, gone),
-        customers=_merged(old.customers, put.customers, gone),
+        services=_merged(old.services, put.services, dropped_sections),
+        models=_merged(old.models, put.models, dropped_sections),
+        versions=_merged(old.versions, put.versions, dropped_sections),
+        adapters=_merged(old.adapters, put.adapters, dropped_sections),
+        customers=_merged(old.customers, put.customers, dropped_sections),
     )
     found = bundle_of(after).digest
     if found != digest:
@@ -90,12 +90,16 @@
 def _merged(
     before: tuple[PartT, ...],
     put: tuple[PartT, ...],
-    gone: frozenset[str],
+    dropped_sections: frozenset[str],
 ) -> tuple[PartT, ...]:
-    merged = {part.name: part for part in before if not _is_in(part, gone)}
+    merged = {
+        part.name: part
+        for part in before
+        if not _is_dropped(part, dropped_sections)
+    }
     merged.update({part.name: part for part in put})
     return tuple(merged.values())
 
 
-def _is_in(part: Part, sections: frozenset[str]) -> bool:
+def _is_dropped(part: Part, sections: frozenset[str]) -> bool:
     return section_of(part) in sections
--- a/packages/model/src/crowrudder_model/declared/_difference.py
+++ b/packages/model/src/crowrudder_model/declared/_difference.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-from crowrudder_model.declared._checks import section_of, shown
+from crowrudder_model.declared._checks import format_value, section_of
 from crowrudder_model.declared._declaration import Declaration
 from crowrudder_model.declared._parts import Part
 from crowrudder_model.declared._sections import keys_of
@@ -17,7 +17,7 @@
 
 @frozen
 class Change:
-    """A key, or with an empty key a whole section, that differs."""
+    """A key that differs, or a section that does if the key is empty."""
 
     section: str
     key: str
@@ -29,7 +29,7 @@
     before: Declaration,
     after: Declaration,
 ) -> tuple[Change, ...]:
-    """Give what differs, by section, in the files' own texts.
+    """Return the differences by section, with values as the files have them.
 
     >>> difference(Declaration(1), Declaration(2))[0].after
     '2'
@@ -38,10 +38,13 @@
 
 
 def _changes(before: Declaration, after: Declaration) -> Iterator[Change]:
-    olds = {section_of(part): part for part in (before, *before.parts())}
-    news = {section_of(part): part for part in (after, *after.parts())}
-    for section in (*olds, *(name for name in news if name not in olds)):
-        old, new = olds.get(section), news.get(section)
+    old_parts = {section_of(part): part for part in (before, *before.parts())}
+    new_parts = {section_of(part): part for part in (after, *after.parts())}
+    for section in (
+        *old_parts,
+        *(name for name in new_parts if name not in old_parts),
+    ):
+        old, new = old_parts.get(section), new_parts.get(section)
         if old is None:
             yield Change(section, '', ABSENT, PRESENT)
         elif new is None:
@@ -56,7 +59,7 @@
     new: Part | Declaration,
 ) -> Iterator[Change]:
     for key in keys_of(type(old)):
-        before = shown(getattr(old, key.name))
-        after = shown(getattr(new, key.name))
+        before = format_value(getattr(old, key.name))
+        after = format_value(getattr(new, key.name))
         if before != after:
             yield Change(section, key.name, before, after)
--- a/packages/model/src/crowrudder_model/declared/_files.py
+++ b/packages/model/src/crowrudder_model/declared/_files.py
@@ -1,4 +1,4 @@
-"""Reading the declared files: a whole directory, with all its faults."""
+"""Parser of the declared files, which collects all faults of a directory."""
 
 from __future__ import annotations
 
@@ -24,21 +24,24 @@
     FLEET,
     KINDS,
     Key,
-    in_order,
+    canonical_order,
     keys_of,
 )
 
 SUFFIX = '.ini'
-SECTIONS = ', '.join((f'[{FLEET}]', *(f'[{kind}:NAME]' for kind in KINDS)))
-# No section of this name can be written, so none hands keys to the others.
-NO_DEFAULTS = '\n'
-MOST_DIGITS = 18
-WHOLE = re.compile(rf'[+-]?[0-9]{{1,{MOST_DIGITS}}}')
+ALLOWED_SECTIONS = ', '.join(
+    (f'[{FLEET}]', *(f'[{kind}:NAME]' for kind in KINDS))
+)
+# A file can't contain a section of this name, so no section sets defaults
+# for the others.
+DISABLED_DEFAULT_SECTION = '\n'
+MAX_DIGITS = 18
+INTEGER = re.compile(rf'[+-]?[0-9]{{1,{MAX_DIGITS}}}')
 
 
 @frozen
 class Reading:
-    """What a directory declares; only whole when `faults` is empty."""
+    """What a directory declares; complete only if `faults` is empty."""
 
     declaration: Declaration
     faults: tuple[Fault, ...]
@@ -46,7 +49,7 @@
 
 @define
 class _Reader:
-    """Collects parts and faults over the files of a directory."""
+    """Collects the parts and faults of all files of a directory."""
 
     faults: list[Fault] = Factory(list)
     file_of: dict[str, str] = Factory(dict)
@@ -55,8 +58,10 @@
     has_unreadable: bool = False
 
     def read(self, file: str, text: str) -> None:
-        # RawConfigParser: a `%` in a value means itself.
-        parser = configparser.RawConfigParser(default_section=NO_DEFAULTS)
+        # RawConfigParser doesn't interpolate: a `%` in a value is literal.
+        parser = configparser.RawConfigParser(
+            default_section=DISABLED_DEFAULT_SECTION
+        )
         parser.optionxform = str  # type: ignore[assignment,method-assign]
         try:
             parser.read_string(text, source=file)
@@ -71,7 +76,7 @@
         kind, _, name = section.partition(':')
         declared = Declaration if section == FLEET else KINDS.get(kind)
         if declared is None or (section != FLEET and not name):
-            self._fault(file, section, '', section, SECTIONS)
+            self._fault(file, section, '', section, ALLOWED_SECTIONS)
             return
         first = self.file_of.get(section)
         if first is not None:
@@ -104,7 +109,7 @@
                 values[key.name] = self._value(section, key, text)
             elif key.is_required:
                 self._fault(file, section, key.name, '', key.rule.kind.allowed)
-                values[key.name] = _stopgap(key)
+                values[key.name] = _placeholder(key)
         return values
 
     def _value(self, section: str, key: Key, text: str) -> object:
@@ -113,7 +118,7 @@
         except ValueError:
             allowed = key.rule.kind.allowed
             self._fault(self.file_of[section], section, key.name, text, allowed)
-            return _stopgap(key)
+            return _placeholder(key)
 
     def _fault(
         self,
@@ -129,28 +134,30 @@
         if FLEET not in self.file_of and not self.faults:
             self._fault('', FLEET, '', '', 'a section [fleet] in one file')
         parts = {f'{kind}s': tuple(self.parts.get(kind, ())) for kind in KINDS}
-        # The parts are of the kinds that the sections name.
-        declaration = in_order(
+        # Each key of `parts` holds the class that KINDS has for it.
+        declaration = canonical_order(
             evolve(self.fleet, **parts),  # type: ignore[arg-type]
         )
-        self.faults.extend(self._further_faults(declaration))
+        self.faults.extend(self._declaration_faults(declaration))
         self.faults.sort(key=lambda item: (item.file, item.section, item.key))
         return Reading(declaration, tuple(self.faults))
 
-    def _further_faults(self, declaration: Declaration) -> Iterator[Fault]:
-        # Each section of an unreadable file would look undeclared.
+    def _declaration_faults(self, declaration: Declaration) -> Iterator[Fault]:
+        # References to sections of an unreadable file would be reported as
+        # undeclared.
         if self.has_unreadable:
             return
-        # A key that can't be read has its fault: its stopgap gets no second.
-        told = {(fault.section, fault.key) for fault in self.faults}
+        # A key that can't be parsed is reported already; its placeholder isn't
+        # checked.
+        reported = {(fault.section, fault.key) for fault in self.faults}
         for fault in faults_of(declaration):
-            if (fault.section, fault.key) not in told:
+            if (fault.section, fault.key) not in reported:
                 file = self.file_of.get(fault.section, '')
                 yield evolve(fault, file=file)
 
 
 def read_files(texts: Mapping[str, str]) -> Reading:
-    r"""Read the texts of a directory's `.ini` files, by file name.
+    r"""Parse the texts of a directory's `.ini` files, given by file name.
 
     >>> read_files({'a.ini': '[fleet]\ngeneration = 0'}).faults[0].key
     'generation'
@@ -170,15 +177,15 @@
             names = re.split(r'[,\n]', text)
             return tuple(name.strip() for name in names if name.strip())
         case Whole():
-            if WHOLE.fullmatch(text) is None:
+            if INTEGER.fullmatch(text) is None:
                 raise ValueError(text)
             return int(text)
         case Decimal():
             return float(text)
 
 
-def _stopgap(key: Key) -> object:
-    """Stand in for a value that has its fault already."""
+def _placeholder(key: Key) -> object:
+    """Return a placeholder for a value whose fault is already reported."""
     if not key.is_required:
         return key.default
     return '' if isinstance(key.rule.kind, Name | Digest | Choice) else 1
@@ -205,7 +212,7 @@
         case configparser.MissingSectionHeaderError():
             found = f'line {exc.lineno}: {exc.line.strip()}'
             return Fault(
-                '', '', found, f'a section first: {SECTIONS}', file=file
+                '', '', found, f'a section first: {ALLOWED_SECTIONS}', file=file
             )
         case configparser.ParsingError():
             found = '; '.join(f'line {no}: {text}' for no, text in exc.errors)
--- a/packages/model/src/crowrudder_model/declared/_parts.py
+++ b/packages/model/src/crowrudder_model/declared/_parts.py
@@ -1,4 +1,4 @@
-"""The parts that users declare, each key with its rule beside it."""
+"""The declared parts, with the rule of each key."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
     rule,
 )
 
-MOST_REPLICAS = 100_000
-MOST_BYTES = 1 << 44
-MOST_CHUNKS = 1 << 20
-MOST_RATE = 1_000_000.0
+MAX_REPLICAS = 100_000
+MAX_VERSION_BYTES = 1 << 44
+MAX_CHUNKS = 1 << 20
+MAX_RATE_PER_S = 1_000_000.0
 
 
 @frozen
@@ -44,8 +44,10 @@
     manifest: str = field(
         metadata=rule(Digest(), "SHA-256 of the manifest's bytes"),
     )
-    size: int = field(metadata=rule(Whole(1, MOST_BYTES), 'bytes in all'))
-    chunks: int = field(metadata=rule(Whole(1, MOST_CHUNKS), 'chunks in all'))
+    size: int = field(
+        metadata=rule(Whole(1, MAX_VERSION_BYTES), 'bytes in all')
+    )
+    chunks: int = field(metadata=rule(Whole(1, MAX_CHUNKS), 'chunks in all'))
 
 
 @frozen
@@ -114,7 +116,7 @@
     replicas: int = field(
         default=0,
         metadata=rule(
-            Whole(0, MOST_REPLICAS),
+            Whole(0, MAX_REPLICAS),
             'hosts that run it; 0: every eligible host',
             only_for='engine',
         ),
@@ -158,7 +160,7 @@
 
     @property
     def is_engine(self) -> bool:
-        """Tell whether engines serve it, so that weights are needed."""
+        """Return whether engines serve it, so that it needs weights."""
         return self.kind == 'engine'
 
 
@@ -180,7 +182,9 @@
     )
     rate_per_s: float = field(
         default=10.0,
-        metadata=rule(Decimal(0.001, MOST_RATE), 'requests a second, lasting'),
+        metadata=rule(
+            Decimal(0.001, MAX_RATE_PER_S), 'requests a second, lasting'
+        ),
     )
     burst: int = field(
         default=20,
@@ -199,7 +203,7 @@
     )
 
     def may_use(self, service: str) -> bool:
-        """Tell whether the customer may use the service."""
+        """Return whether the customer may use the service."""
         return service in self.services
 
 
--- a/packages/model/src/crowrudder_model/declared/_publishing.py
+++ b/packages/model/src/crowrudder_model/declared/_publishing.py
@@ -1,4 +1,4 @@
-"""What a declaration must keep to be published: after another, on hosts."""
+"""Checks before publication: size, capacity and succession."""
 
 from __future__ import annotations
 
@@ -28,20 +28,21 @@
     previous: Bundle | None = None,
     members: tuple[Member, ...] = (),
 ) -> tuple[Fault, ...]:
-    """Give the faults that only a publication can have.
+    """Return the faults that matter only when a declaration is published.
 
     Parameters
     ----------
     declaration
-        without faults of its own.
+        a declaration without faults of `faults_of`.
     previous
-        the bundle that it follows, if known.
+        the bundle that it replaces, if known.
     members
-        the hosts, if known; without them the numbers of replicas count.
+        the hosts, if known; otherwise the declared numbers of replicas
+        are used.
     """
     return (
         *_size_faults(declaration),
-        *_shadowed(declaration),
+        *_shadowed_services(declaration),
         *_placement_faults(declaration, members),
         *_rate_faults(declaration, members),
         *_succession_faults(declaration, previous),
@@ -55,25 +56,27 @@
         yield Fault(FLEET, '', f'{size} bytes', allowed)
 
 
-def _shadowed(declaration: Declaration) -> Iterator[Fault]:
-    """Find services whose every host an earlier service takes.
+def _shadowed_services(declaration: Declaration) -> Iterator[Fault]:
+    """Find services that get no host because an earlier one takes all.
 
-    Hosts go to the services in the order of their names, and `replicas = 0`
-    takes all that are eligible.
+    Hosts are assigned to services in the order of the services' names, and
+    `replicas = 0` takes all eligible hosts.
     """
     engines = sorted(
         (item for item in declaration.services if item.is_engine),
         key=lambda item: item.name,
     )
-    for place_of, service in enumerate(engines):
-        takers = (
+    for position, service in enumerate(engines):
+        shadowing = (
             earlier
-            for earlier in engines[:place_of]
+            for earlier in engines[:position]
             if earlier.replicas == 0 and _covers(earlier, service)
         )
-        taker = next(takers, None)
-        if taker is not None:
-            allowed = f'hosts that [service:{taker.name}] leaves free'
+        shadowing_service = next(shadowing, None)
+        if shadowing_service is not None:
+            allowed = (
+                f'hosts that [service:{shadowing_service.name}] leaves free'
+            )
             yield Fault(section_of(service), 'replicas', NOWHERE, allowed)
 
 
@@ -85,7 +88,7 @@
 
 
 def _includes(wide: tuple[str, ...], narrow: tuple[str, ...]) -> bool:
-    # Nothing named stands for everywhere.
+    # An empty list means everywhere.
     return not wide or (bool(narrow) and set(narrow) <= set(wide))
 
 
@@ -112,36 +115,40 @@
     declaration: Declaration,
     members: tuple[Member, ...],
 ) -> Iterator[Fault]:
-    """Find customers whose rate their services could never carry."""
+    """Find customers whose rate exceeds the capacity of their services."""
     placed = _placed(declaration, members) if members else None
     for customer in declaration.customers:
-        carried = _carried(declaration, customer, placed)
-        if carried is not None and customer.rate_per_s > carried:
+        max_rate_per_s = _max_rate_per_s(declaration, customer, placed)
+        if max_rate_per_s is not None and customer.rate_per_s > max_rate_per_s:
             yield Fault(
                 section_of(customer),
                 'rate_per_s',
                 f'{customer.rate_per_s:g}',
-                f'{carried:g} at most: replicas times slots_per_replica, '
+                f'{max_rate_per_s:g} at most: replicas times slots_per_replica, '
                 'through request_s, of its services',
             )
 
 
-def _carried(
+def _max_rate_per_s(
     declaration: Declaration,
     customer: Customer,
     placed: Counter[str] | None,
 ) -> float | None:
-    """Sum up what a customer's services carry, in requests a second."""
-    total = 0.0
+    """Return the capacity of a customer's services in requests a second.
+
+    None if it is unknown or the customer has no services.
+    """
+    total_per_s = 0.0
     for service in declaration.services:
         if not customer.may_use(service.name):
             continue
         hosts = service.replicas if placed is None else placed[service.name]
         if not hosts:
-            # Without the hosts, nobody knows how many it will have.
+            # Without a number of replicas or the hosts, its capacity is
+            # unknown.
             return None
-        total += hosts * service.slots_per_replica / service.request_s
-    return total if customer.services else None
+        total_per_s += hosts * service.slots_per_replica / service.request_s
+    return total_per_s if customer.services else None
 
 
 def _placed(
@@ -159,22 +166,24 @@
     if previous is None:
         return
     if declaration.parent != previous.digest:
-        # Another operator published in between, or the files are older.
+        # Another operator published in between, or the files are outdated.
         allowed = f'{previous.digest}, the digest of the bundle before'
         yield Fault(FLEET, 'parent', declaration.parent, allowed)
     lowest = previous.declaration.generation + 1
     if declaration.generation < lowest:
         found = str(declaration.generation)
         yield Fault(FLEET, 'generation', found, f'{lowest} or more')
-    yield from _deletions(declaration, previous.declaration)
-    yield from _changed_versions(declaration, previous.declaration)
+    yield from _deletion_faults(declaration, previous.declaration)
+    yield from _version_faults(declaration, previous.declaration)
 
 
-def _deletions(after: Declaration, before: Declaration) -> Iterator[Fault]:
-    """Find what is gone although the bundle before still uses it.
+def _deletion_faults(
+    after: Declaration, before: Declaration
+) -> Iterator[Fault]:
+    """Find deleted sections that the previous bundle still uses.
 
-    Hosts change one after the other: while they do, the ones behind still
-    serve with what the bundle before names.
+    Hosts change one after the other. During the change, those that haven't
+    changed yet still serve with the sections of the previous bundle.
     """
     present = {section_of(part) for part in after.parts()}
     for used, user in _uses(before):
@@ -188,13 +197,13 @@
             )
 
 
-def _changed_versions(
+def _version_faults(
     after: Declaration,
     before: Declaration,
 ) -> Iterator[Fault]:
-    """Find versions that are other weights under the old name.
+    """Find versions that keep their name but change their weights.
 
-    Hosts that hold the old ones would answer as if they had the new ones.
+    Hosts that hold the old weights would answer as if they had the new ones.
     """
     for version in after.versions:
         known = before.version(version.name)
@@ -208,7 +217,7 @@
 
 
 def _uses(declaration: Declaration) -> Iterator[tuple[str, str]]:
-    """Give each section that is in use, once, with one of its users."""
+    """Yield each section in use once, with one section that uses it."""
     uses: dict[str, str] = {}
     for service in declaration.services:
         user = section_of(service)
--- a/packages/model/src/crowrudder_model/declared/_reference.py
+++ b/packages/model/src/crowrudder_model/declared/_reference.py
@@ -1,12 +1,12 @@
-"""The reference page of the declared files, written from the rules."""
+"""The reference page of the declared files, generated from the rules."""
 
 from __future__ import annotations
 
-from crowrudder_model.declared._checks import shown
+from crowrudder_model.declared._checks import format_value
 from crowrudder_model.declared._declaration import Declaration
 from crowrudder_model.declared._sections import FLEET, KINDS, Key, keys_of
 
-HEAD = """\
+PAGE_HEAD = """\
 # The declared files
 
 A directory of `.ini` files declares the whole fleet. Any file may hold any
@@ -18,7 +18,7 @@
 Names are 1 to 64 letters, digits, `.`, `_` and `-`. Lists are separated by
 commas. Lines that start with `#` or `;` are comments.
 """
-TAIL = """
+PAGE_TAIL = """
 ## What must agree over the whole directory
 
 - Every model, version, adapter and service that a section names is declared.
@@ -45,22 +45,22 @@
 With the members at hand (`--in-force ADMIN`): every service of kind `engine`
 finds as many hosts as it has replicas, and at least one.
 """
-TABLE = '\n| key | allowed | default | meaning |\n|---|---|---|---|\n'
+TABLE_HEAD = '\n| key | allowed | default | meaning |\n|---|---|---|---|\n'
 
 
 def reference_page() -> str:
-    """Write the page as it stands in the documentation."""
+    """Return the page as the documentation has it."""
     sections = [_section(FLEET, Declaration)]
     sections.extend(
         _section(f'{kind}:NAME', declared) for kind, declared in KINDS.items()
     )
-    return ''.join((HEAD, *sections, TAIL))
+    return ''.join((PAGE_HEAD, *sections, PAGE_TAIL))
 
 
 def _section(head: str, declared: type) -> str:
     about = (declared.__doc__ or '').splitlines()[0]
     rows = ''.join(_row(key) for key in keys_of(declared))
-    table = f'{TABLE}{rows}' if rows else '\nNo keys.\n'
+    table = f'{TABLE_HEAD}{rows}' if rows else '\nNo keys.\n'
     return f'\n## `[{head}]`\n\n{about}\n{table}'
 
 
@@ -76,5 +76,5 @@
 def _default(key: Key) -> str:
     if key.rule.only_for and key.default == '':
         return f'required for `{key.rule.only_for}`'
-    text = shown(key.default)
+    text = format_value(key.default)
     return f'`{text}`' if text else 'nothing'
--- a/packages/model/src/crowrudder_model/declared/_rules.py
+++ b/packages/model/src/crowrudder_model/declared/_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the declared keys: the check and what a fault may say."""
+"""Rules of the declared keys: allowed values and their description."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @frozen
 class Name:
-    """A name as users, files and headers write it."""
+    """A name of a declared part, as in files and headers."""
 
     allowed = 'a name of 1 to 64 letters, digits, `.`, `_` and `-`'
 
 
 @frozen
 class Names:
-    """Any number of different names."""
+    """A list of different names, possibly empty."""
 
     allowed = 'different names, separated by commas'
 
@@ -34,46 +34,46 @@
 
     @property
     def allowed(self) -> str:
-        """Say which values are allowed."""
+        """Description of the allowed values."""
         text = '64 lower-case hexadecimal digits'
         return f'{text}, or nothing' if self.may_be_empty else text
 
 
 @frozen
 class Choice:
-    """One of a few words."""
+    """One of a fixed set of options."""
 
-    words: tuple[str, ...]
+    options: tuple[str, ...]
 
     @property
     def allowed(self) -> str:
-        """Say which values are allowed."""
-        return ' or '.join(f'`{word}`' for word in self.words)
+        """Description of the allowed values."""
+        return ' or '.join(f'`{option}`' for option in self.options)
 
 
 @frozen
 class Whole:
-    """A whole number within bounds, both included."""
+    """An integer within inclusive bounds."""
 
     low: int
     high: int
 
     @property
     def allowed(self) -> str:
-        """Say which values are allowed."""
+        """Description of the allowed values."""
         return f'a whole number from {self.low} to {self.high}'
 
 
 @frozen
 class Decimal:
-    """A number within bounds, both included."""
+    """A decimal number within inclusive bounds."""
 
     low: float
     high: float
 
     @property
     def allowed(self) -> str:
-        """Say which values are allowed."""
+        """Description of the allowed values."""
         return f'a number from {self.low:g} to {self.high:g}'
 
 
@@ -82,14 +82,14 @@
 
 @frozen
 class Rule:
-    """What a key may hold, and what it is for."""
+    """The allowed values of a key, and its meaning."""
 
     kind: Kind
     meaning: str
     only_for: str = field(default='', kw_only=True)
 
     def accepts(self, found: Any) -> bool:
-        """Tell whether `found`, of the field's type, keeps the rule."""
+        """Return whether `found`, of the field's type, is allowed."""
         match self.kind:
             case Name():
                 return NAME.fullmatch(found) is not None
@@ -99,14 +99,14 @@
                 return DIGEST.fullmatch(found) is not None or (
                     may_be_empty and not found
                 )
-            case Choice(words):
-                return found in words
+            case Choice(options):
+                return found in options
             case Whole(low, high) | Decimal(low, high):
                 return bool(low <= found <= high)
 
 
 def rule(kind: Kind, meaning: str, *, only_for: str = '') -> dict[str, Rule]:
-    """Make the metadata of a declared attribute."""
+    """Return the metadata of a declared attribute."""
     return {RULE: Rule(kind, meaning, only_for=only_for)}
 
 
--- a/packages/model/src/crowrudder_model/declared/_sections.py
+++ b/packages/model/src/crowrudder_model/declared/_sections.py
@@ -1,4 +1,4 @@
-"""How the sections of the files and the declared parts belong together."""
+"""Mapping between sections of the files and declared parts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from attrs import NOTHING, Attribute, evolve, fields, frozen
 
-from crowrudder_model.declared._checks import section_of, shown
+from crowrudder_model.declared._checks import format_value, section_of
 from crowrudder_model.declared._declaration import Declaration
 from crowrudder_model.declared._parts import (
     Adapter,
@@ -34,7 +34,7 @@
 
 @frozen
 class Key:
-    """A key of a section: its rule, and its default where it has one."""
+    """A key of a section: its rule, and its default if it has one."""
 
     name: str
     rule: Rule
@@ -42,12 +42,12 @@
 
     @property
     def is_required(self) -> bool:
-        """Tell whether the section must have the key."""
+        """Return whether the section must have the key."""
         return self.default is NOTHING
 
 
 def keys_of(declared: type) -> tuple[Key, ...]:
-    """Give the keys of a section of the files, in their order."""
+    """Return the keys of a section of the files, in declaration order."""
     return tuple(
         Key(item.name, item.metadata[RULE], item.default)
         for item in fields(declared)
@@ -56,7 +56,7 @@
 
 
 def ini_of(*declared: Part | Declaration) -> str:
-    """Write parts, or a whole declaration, as sections of a file.
+    """Return parts, or a complete declaration, as sections of a file.
 
     >>> print(ini_of(Model('listing')))
     [model:listing]
@@ -69,9 +69,10 @@
     )
 
 
-def in_order(declaration: Declaration) -> Declaration:
-    """Bring the parts into the order of their names."""
-    # Two files in another order declare the same: one digest for both.
+def canonical_order(declaration: Declaration) -> Declaration:
+    """Return the declaration with its parts sorted by name."""
+    # The order of files and sections doesn't matter, so it must not affect the
+    # digest.
     return evolve(
         declaration,
         services=_by_name(declaration.services),
@@ -83,7 +84,7 @@
 
 
 def _is_key(declared: type, item: Attribute[object]) -> bool:
-    # The name of a part stands in the section's head.
+    # The section header contains the name of a part.
     return RULE in item.metadata and (
         declared is Declaration or item.name != 'name'
     )
@@ -94,7 +95,7 @@
     for key in keys_of(type(declared)):
         found = getattr(declared, key.name)
         if found != key.default:
-            lines.append(f'{key.name} = {shown(found)}\n')
+            lines.append(f'{key.name} = {format_value(found)}\n')
     return ''.join(lines)
 
 
--- a/packages/model/src/crowrudder_model/declared/placement.py
+++ b/packages/model/src/crowrudder_model/declared/placement.py
@@ -1,4 +1,4 @@
-"""Which host runs which service, worked out alike by every process."""
+"""Deterministic assignment of services to hosts."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     declaration: Declaration,
     members: Iterable[Member],
 ) -> dict[str, Service]:
-    """Give the service of each host that has one.
+    """Return the service of each host that has one.
 
-    Depends on nothing but its arguments, so that processes which know the
-    same bundle and members agree without a word between them. A host that
-    comes or goes moves few others: the order is a rendezvous order.
+    The result depends only on the arguments, so that processes with the same
+    bundle and members agree without communication. Hosts are ranked by
+    rendezvous hashing, so that a host that joins or leaves moves few others.
     """
     agents = [member for member in members if _is_live_agent(member)]
     placed: dict[str, Service] = {}
@@ -33,7 +33,7 @@
 
 
 def eligible(service: Service, members: Iterable[Member]) -> list[Member]:
-    """Give the live engine hosts on which the service may run."""
+    """Return the live engine hosts on which the service may run."""
     return [
         member
         for member in members
@@ -61,7 +61,7 @@
         for member in eligible(service, agents)
         if member.host not in placed
     ]
-    order = _round_the_domains(service.name, free)
+    order = _interleave_failure_domains(service.name, free)
     return order[: service.replicas] if service.replicas else order
 
 
@@ -70,19 +70,21 @@
     return [agent.host for agent in agents if agent.upstream == wanted]
 
 
-def _round_the_domains(service: str, members: list[Member]) -> list[str]:
-    """Order hosts so that every start of the list is spread evenly.
+def _interleave_failure_domains(
+    service: str, members: list[Member]
+) -> list[str]:
+    """Order hosts so that each prefix of the list is spread evenly.
 
-    A failure domain that dies then takes no more than its share with it.
+    The failure of one failure domain then costs no more than its share.
     """
-    rounds: Counter[str] = Counter()
-    turns = []
+    next_round: Counter[str] = Counter()
+    ranked_hosts = []
     for rank, domain in sorted(
         (_rank(service, member), member.failure_domain) for member in members
     ):
-        turns.append((rounds[domain], rank))
-        rounds[domain] += 1
-    return [host for _, (_, host) in sorted(turns)]
+        ranked_hosts.append((next_round[domain], rank))
+        next_round[domain] += 1
+    return [host for _, (_, host) in sorted(ranked_hosts)]
 
 
 def _rank(service: str, member: Member) -> tuple[int, str]:
--- a/packages/model/src/crowrudder_model/fleet/__init__.py
+++ b/packages/model/src/crowrudder_model/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""What a fleet publishes for its processes, as typed values.
+"""Published records of a fleet, as typed values.
 
-The values come from an adapter that decodes an outside system's records; no
-name of that system stands here.
+An adapter decodes an external system's records to these values, which are
+independent of that system's names.
 """
 
 from crowrudder_model.fleet._config import (
--- a/packages/model/src/crowrudder_model/fleet/_config.py
+++ b/packages/model/src/crowrudder_model/fleet/_config.py
@@ -10,7 +10,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Which requests of a route may be retried."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -19,7 +19,7 @@
 
 @frozen
 class RouteTarget:
-    """One of the services of a route, with its share of the requests."""
+    """A service of a route, with its share of the requests."""
 
     service: str
     weight: float = 1
@@ -27,25 +27,26 @@
 
 @frozen(kw_only=True)
 class Route:
-    """Where requests of one host name and path prefix go.
+    """The target services for requests of one host name and path prefix.
 
     Parameters
     ----------
     timeout_s
-        Longest time that the operators want a caller kept waiting.
+        Maximum time for which a caller may wait.
     goal_s
-        Time within which an answer is of full use: to its end, of a stream to
-        its first event.
+        Target time to the end of an answer, or to the first event of a stream.
+        A later answer is not of full use.
     pause_goal_s
-        Longest pause within a stream that is still of full use; 0 for none.
+        Target for the longest pause within a stream; 0 for none. A stream with
+        a longer pause is not of full use.
     priority
         0 is the most urgent.
     attempts
-        Most upstreams to which one request may be sent.
+        Maximum number of upstreams to which one request may be sent.
     public
-        Whether it needs no key.
+        Whether requests need no key.
     resumable
-        Whether a stream may go on at another upstream after a given event.
+        Whether another upstream can resume a stream after a given event.
     """
 
     name: str
@@ -63,7 +64,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent once more."""
+        """Whether a request that may have run may be sent again."""
         match self.kind:
             case RouteKind.IDEMPOTENT:
                 return True
@@ -75,11 +76,11 @@
 
 @frozen(kw_only=True)
 class FleetService:
-    """A group of equal upstreams.
+    """A group of equivalent upstreams.
 
     ``engine`` is None for plain services. ``origin`` is the address of a
     source of weights, which isn't listed among the upstreams; ``link_mbps``
-    is its link in Mbit/s.
+    is the rate of its link in Mbit/s.
     """
 
     name: str
@@ -92,7 +93,7 @@
 
 @frozen(kw_only=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take; bytes and seconds."""
+    """Limits on the size and time of a request, in bytes and seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 1_048_576
@@ -102,9 +103,9 @@
 
 @frozen(kw_only=True)
 class CustomerKeys:
-    """A customer, the keys by which its requests are known, its priority.
+    """A customer, the keys that identify its requests, and its priority.
 
-    ``priority`` is None where the route's applies.
+    ``priority`` is None if the route's applies.
     """
 
     name: str
@@ -114,7 +115,7 @@
 
 @frozen(kw_only=True)
 class FleetConfig:
-    """One published configuration; a higher version replaces it whole."""
+    """A published configuration; a higher version replaces all of it."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -126,7 +127,7 @@
     _keys: dict[str, CustomerKeys] = field(init=False, eq=False, repr=False)
 
     def __attrs_post_init__(self) -> None:
-        """Index what is looked up for each request."""
+        """Build the indexes that are used for each request."""
         services = {service.name: service for service in self.services}
         keys = {
             key: customer
@@ -137,20 +138,20 @@
         object.__setattr__(self, '_keys', keys)
 
     def service(self, name: str) -> FleetService | None:
-        """Find a service by its name."""
+        """Return the service with a name, or None."""
         return self._services.get(name)
 
     def customer_of(self, key: str) -> CustomerKeys | None:
-        """Find the customer that holds a key."""
+        """Return the customer that holds a key, or None."""
         return self._keys.get(key)
 
     @property
     def origin(self) -> FleetService | None:
-        """The source of weights, if there is one."""
+        """The service that is the source of weights, or None."""
         return next((each for each in self.services if each.origin), None)
 
     def engine_service(self, model: str) -> FleetService | None:
-        """Find the service whose engines serve a model."""
+        """Return the service whose engines serve a model, or None."""
         for service in self.services:
             if service.engine is not None and service.engine.model == model:
                 return service
--- a/packages/model/src/crowrudder_model/fleet/_engine.py
+++ b/packages/model/src/crowrudder_model/fleet/_engine.py
@@ -1,4 +1,4 @@
-"""The figures by which an engine's owner describes its speed."""
+"""Performance figures of an engine, as stated by its owner."""
 
 from __future__ import annotations
 
@@ -7,35 +7,36 @@
 
 @frozen(kw_only=True)
 class EngineFigures:
-    """How fast an engine reads and writes, as its owner states it.
+    """Speed and size of an engine, as its owner states them.
 
     Parameters
     ----------
     slots
-        Requests that it works on at once.
+        Maximum number of requests that it runs concurrently.
     step_s, step_per_writer_s, step_per_context_s
-        Time of one token for all writers together: fixed part, part for each
-        writer, and part for each 1,000 tokens of each writer's context.
+        Time of one decode step, which yields one token for each request that
+        is writing its answer: a fixed time, a time for each such request, and
+        a time for each 1,000 tokens of each one's context.
     steps_per_pass
-        Tokens that each writer gets before the engine looks at its queue.
+        Decode steps between two checks of the queue.
     read_tokens_per_s
-        Prompt tokens read in a second.
+        Prompt tokens processed in a second.
     pairs_s_per_million
-        Time for a million pairs of a token and an earlier one.
+        Attention time for a million pairs of a token and an earlier one.
     most_read_per_step
-        Most prompt tokens read in one step.
+        Maximum number of prompt tokens processed in one step.
     memory_tokens
-        Tokens of all requests that its memory holds.
+        Maximum number of tokens of all requests in its memory.
     usual_prompt, usual_answer
         Mean tokens of a prompt and of an answer.
     load_s
-        Time to take staged weights once nothing runs.
+        Time to load staged weights while no request runs.
     model
         The model that it serves.
     layers
-        Layers of the model.
+        Number of layers of the model.
     chunks, chunk_bytes
-        Chunks that the weights come in, and the size of each.
+        Number of chunks of the weights, and the size of each.
     """
 
     slots: int
--- a/packages/model/src/crowrudder_model/fleet/_layers.py
+++ b/packages/model/src/crowrudder_model/fleet/_layers.py
@@ -21,22 +21,23 @@
     end: int = 0
 
     def __bool__(self) -> bool:
-        """Whether there is any layer in it."""
+        """Return whether the range has any layer."""
         return self.end > self.first
 
     @property
     def count(self) -> int:
-        """How many layers there are in it."""
+        """The number of layers."""
         return max(self.end - self.first, 0)
 
     def covers(self, other: LayerRange) -> bool:
-        """Whether all layers of another range are in this one."""
+        """Return whether this range has all layers of another."""
         return self.first <= other.first and other.end <= self.end
 
     def is_whole(self, layers: int) -> bool:
-        """Whether it is all layers of a model with so many.
+        """Return whether the range has all layers of a model.
 
-        Where nobody says how many there are, any layers count as all.
+        ``layers`` is the number of layers of the model; 0 if it is unknown.
+        Any non-empty range counts as complete then.
         """
         if not layers:
             return bool(self)
@@ -48,7 +49,7 @@
 
 @frozen
 class PathPart:
-    """The layers that one upstream runs of a request's path."""
+    """A stage of a request's pipeline: an upstream and the layers it runs."""
 
     address: str
     layers: LayerRange
--- a/packages/model/src/crowrudder_model/fleet/_node.py
+++ b/packages/model/src/crowrudder_model/fleet/_node.py
@@ -1,4 +1,4 @@
-"""What a process is told of itself and its surroundings at its start."""
+"""Start-up parameters of a process: identity, addresses and limits."""
 
 from __future__ import annotations
 
@@ -7,41 +7,41 @@
 
 @frozen(kw_only=True)
 class NodePlace:
-    """Where a host stands; regions of all failure domains by name."""
+    """Location of a host, and the region of each failure domain by name."""
 
     failure_domain: str = ''
     region: str = ''
     regions: tuple[tuple[str, str], ...] = ()
 
     def region_of(self, failure_domain: str) -> str:
-        """Give the region of a failure domain; empty where it isn't known."""
+        """Return the region of a failure domain, or '' if it is unknown."""
         return dict(self.regions).get(failure_domain, '')
 
 
 @frozen(kw_only=True)
 class Bounds:
-    """Bounds within which the fleet's operators want things done.
+    """Time and retry bounds that the fleet's operators set.
 
     Parameters
     ----------
     config_s
-        From a change's publication until it is in force.
+        From the publication of a change until it is in force.
     leaving_s
-        From an upstream's notice until it gets no request any more.
+        From an upstream's notice that it leaves until it gets no more requests.
     stop_s
         From SIGTERM to SIGKILL.
     version_s
-        From a version's publication until nothing begins on an older one.
+        From a version's publication until no request begins on an older one.
     answer_ttl_s
-        Longest time that a caller keeps an answer on which entry to use.
+        Maximum time for which a caller caches which entry to use.
     event_delay_s
-        Longest delay of a stream's event on its way to the caller.
+        Maximum delay of a stream's event on its way to the caller.
     settle_s
-        After a disturbance of a process, its start included, until it is held
-        to these bounds again.
+        Time after a disturbance of a process, such as its start, during which
+        these bounds do not apply to it.
     retry_share, retry_extra, retry_window_s
-        In each window, a service may get at most so many arrivals beyond the
-        first of each request: a share of the requests, and a fixed number.
+        Retry budget of a service in each window: a share of its requests plus
+        a fixed number. Only sends beyond the first of a request count.
     """
 
     config_s: float = 2
@@ -58,26 +58,27 @@
 
 @frozen(kw_only=True)
 class Node:
-    """A process: its names, addresses, limits and where to begin to learn.
+    """A process: its names, addresses, limits and seed hosts.
 
     Parameters
     ----------
     callers, ready, directory
-        Where callers, readiness checks and callers that look for an entry are
-        answered; `IP:PORT`, empty where it isn't this process's part.
+        Listen addresses (`IP:PORT`) for callers, for readiness checks and for
+        callers that look up an entry; empty if this process doesn't serve it.
     peer_ports
-        First and last port that processes of the fleet may use among each
-        other; the same on every host.
+        First and last port for traffic between processes of the fleet; the
+        same on every host.
     seeds
-        IP numbers of hosts to ask first; they may be old or down.
+        IP addresses of the hosts to contact first; they may be outdated or
+        down.
     platform
-        Where configuration, upstreams and versions are published.
+        Address at which configuration, upstreams and versions are published.
     upstream, service
-        The engine beside this process and the service that it is in.
+        The engine on the host of this process, and its service.
     link_bytes_per_s
-        The host's link in each direction.
+        Bandwidth of the host's link in each direction.
     memory_bytes
-        Memory of the process.
+        Memory limit of the process.
     """
 
     host: str
@@ -98,15 +99,15 @@
 
     @property
     def gossip_port(self) -> int:
-        """The UDP port for words between processes."""
+        """The UDP port for datagrams between processes."""
         return self.peer_ports[0]
 
     @property
     def rpc_port(self) -> int:
-        """The TCP port for calls between processes."""
+        """The TCP port for RPC between processes."""
         return self.peer_ports[0] + 1
 
     @property
     def metrics_port(self) -> int:
-        """The TCP port for metrics and the other admin addresses."""
+        """The TCP port for metrics and the other admin endpoints."""
         return self.peer_ports[1]
--- a/packages/model/src/crowrudder_model/fleet/_records.py
+++ b/packages/model/src/crowrudder_model/fleet/_records.py
@@ -1,4 +1,4 @@
-"""The records beside the configuration: upstreams and named versions."""
+"""Published records other than the configuration: upstreams and versions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UpstreamState(enum.Enum):
-    """Whether an upstream takes new requests."""
+    """Whether an upstream accepts new requests."""
 
     READY = 'ready'
     LEAVING = 'leaving'
@@ -19,13 +19,14 @@
 
 @frozen(kw_only=True)
 class Upstream:
-    """One life of a process that serves requests.
-
-    ``id`` may be that of an earlier life, which ``started_ms`` tells apart:
-    its start in milliseconds since 1970, 0 where it isn't said. ``address``
-    may be used again by another upstream after this one has gone. ``model``
-    and ``weights`` say what is loaded: an empty name and 0 where nothing is,
-    and for plain services; ``layers`` are those that it holds of it. ``slots`` are requests that it works on at once.
+    """An incarnation of a process that serves requests.
+
+    A later incarnation may have the same ``id``; ``started_ms``, the start in
+    milliseconds since 1970 and 0 if unknown, distinguishes them. Another
+    upstream may reuse ``address`` after this one ended. ``model`` and
+    ``weights`` are the loaded model and version: an empty name and 0 if none
+    is loaded, and for plain services. ``layers`` is the range of the model's
+    layers that it holds. ``slots`` is the number of concurrent requests.
     """
 
     id: str
@@ -42,13 +43,13 @@
 
     @property
     def host_ip(self) -> str:
-        """The IP number of its host."""
+        """The IP address of its host."""
         return self.address.rpartition(':')[0]
 
 
 @frozen(kw_only=True)
 class NamedVersion:
-    """The weights that a model is to be served with from now on."""
+    """The version of the weights with which a model is to be served."""
 
     model: str
     version: int
--- a/packages/model/src/crowrudder_model/messages/__init__.py
+++ b/packages/model/src/crowrudder_model/messages/__init__.py
@@ -1,4 +1,4 @@
-"""The messages that crowrudder processes send each other."""
+"""The messages between crowrudder processes."""
 
 from crowrudder_model.messages._claim import (
     ClaimAsk,
--- a/packages/model/src/crowrudder_model/messages/_claim.py
+++ b/packages/model/src/crowrudder_model/messages/_claim.py
@@ -1,4 +1,7 @@
-"""Messages by which entries claim request ids at their home agents."""
+"""Messages with which entries claim request ids at the voters of the ids.
+
+Voters are the agents that keep the claims of an id.
+"""
 
 from __future__ import annotations
 
@@ -8,21 +11,21 @@
 
 
 class ClaimState(enum.Enum):
-    """What a home says to a claim."""
+    """A voter's answer to a claim."""
 
     GRANTED = 'granted'
     TAKEN = 'taken'
-    """Another owner holds the id, or this claim was given back already."""
+    """Another owner holds the id, or this claim was released already."""
 
     ABSTAINED = 'abstained'
-    """The home is leaving or full: it vouches for nothing."""
+    """The voter is leaving or full and neither grants nor denies."""
 
 
 @frozen(kw_only=True)
 class ClaimAsk:
-    """Claim an id for an owner, for ``keep_s`` seconds from arrival.
+    """Claim a request id for an owner, for ``keep_s`` seconds from receipt.
 
-    ``serial`` rises with each request that the owner claims for.
+    ``serial`` increases with each request for which the owner claims an id.
     """
 
     request_id: str
@@ -33,14 +36,14 @@
 
 @frozen(kw_only=True)
 class ClaimReply:
-    """A home's word on a claim."""
+    """A voter's reply to a claim."""
 
     state: ClaimState
 
 
 @frozen(kw_only=True)
 class ReleaseAsk:
-    """Give an id back that provably did not run."""
+    """Release an id whose request provably did not run."""
 
     request_id: str
     owner: str
@@ -49,7 +52,7 @@
 
 @frozen(kw_only=True)
 class HeldClaim:
-    """One record of a home, with the seconds that it is still to be kept."""
+    """A voter's record of a claim, with its remaining lifetime in seconds."""
 
     request_id: str
     owner: str
@@ -59,13 +62,13 @@
 
 @frozen(kw_only=True)
 class HandOver:
-    """Claims that a leaving home gives to the other homes of the ids."""
+    """Claims that a leaving voter transfers to the other voters of the ids."""
 
     claims: tuple[HeldClaim, ...]
 
 
 @frozen(kw_only=True)
 class Taken:
-    """How many records were taken in."""
+    """How many records were accepted."""
 
     count: int
--- a/packages/model/src/crowrudder_model/messages/_gossip.py
+++ b/packages/model/src/crowrudder_model/messages/_gossip.py
@@ -1,9 +1,8 @@
-"""Datagrams and calls by which processes of a fleet know each other.
+"""Datagrams and RPC messages for membership, load and published records.
 
-Datagrams go out many times a second, beside answers and weights on the same
-slow links. Written as arrays without the names of their fields they take a
-third of the bytes; therefore they are msgspec's classes, which can be, and not
-attrs'.
+Datagrams are sent many times a second and share slow links with answers and
+weights. Encoded as arrays, without field names, they take a third of the
+bytes. attrs classes can't be encoded as arrays, so these are msgspec structs.
 """
 
 from __future__ import annotations
@@ -21,11 +20,12 @@
 
 
 class MemberWord(msgspec.Struct, frozen=True, array_like=True):
-    """What a process says of itself.
+    """The status that a process sends of itself.
 
-    ``started_at`` is its start in seconds since 1970, by which the words of
-    two lives at one address are told apart. ``callers`` is where callers
-    reach an entry. ``ready`` is whether callers are to be sent there.
+    ``started_at`` is its start in seconds since 1970; it distinguishes the
+    status of two incarnations at one address. ``callers`` is the address at
+    which callers reach an entry. ``ready`` is whether the entry accepts
+    callers.
     """
 
     ip: str
@@ -40,18 +40,18 @@
 
 
 class HeardWord(msgspec.Struct, frozen=True, array_like=True):
-    """Another process's word, passed on, and how old it is in seconds."""
+    """Another process's forwarded status, and its age in seconds."""
 
     word: MemberWord
     age_s: float
 
 
 class Sighting(msgspec.Struct, frozen=True, array_like=True):
-    """How lately an entry was heard of, without its whole word.
+    """When an entry was last seen, without its complete status.
 
-    A fifth of the bytes of a word. ``life`` tells the lives of a process
-    apart, see `life_of`; ``age_ms`` is the age of its last word in
-    milliseconds.
+    Takes a fifth of the bytes of a status. ``life`` identifies the
+    incarnation of the process, see `life_of`; ``age_ms`` is the age of its
+    last status in milliseconds.
     """
 
     ip: str
@@ -62,7 +62,7 @@
 
 
 def life_of(word: MemberWord) -> int:
-    """Give a short name of a process's life: 32 bits of its incarnation."""
+    """Return a 32-bit hash of a process's incarnation."""
     return zlib.crc32(word.incarnation.encode())
 
 
@@ -73,15 +73,16 @@
     tag=2,
     kw_only=True,
 ):
-    """What an agent has just read from the engine beside it.
+    """The load that an agent has just read from its engine.
 
     ``address`` is the engine's. ``weights`` is the loaded version, 0 for
-    none. ``is_changing`` is set from the moment at which the agent wants no
-    more requests for the sake of a load. ``pace`` over 1 means a slow engine.
-    ``started_ms`` tells the engine's lives apart, as in `Upstream`. An engine
-    that holds some layers only has ``weights`` 0, and its part is that of
-    ``part_version`` from ``part_first`` up to but not including ``part_end``.
-    ``is_close`` is set for the few entries that the agent tells the most often.
+    none. ``is_changing`` is set from the moment at which the agent accepts no
+    more requests because it is about to load a version. ``pace`` is the
+    slowdown factor: over 1 the engine is slow. ``started_ms`` distinguishes
+    incarnations of the engine, as in `Upstream`. An engine that holds only
+    some layers has ``weights`` 0; its layer range is that of ``part_version``
+    from ``part_first`` up to but not including ``part_end``. ``is_close`` is
+    set for the few entries to which the agent sends load reports most often.
     """
 
     address: str
@@ -106,10 +107,10 @@
     tag=4,
     kw_only=True,
 ):
-    """Words on the load of one region's engines, as an entry has heard them.
+    """Load reports of one region's engines, as an entry has received them.
 
-    ``ages_ms`` are the ages of the words, in milliseconds. ``pass_on`` asks
-    the receiver to tell the entries of its own region.
+    ``ages_ms`` are the ages of the reports, in milliseconds. ``pass_on`` asks
+    the receiver to forward them to the entries of its own region.
     """
 
     loads: tuple[EngineLoad, ...]
@@ -126,8 +127,8 @@
 ):
     """The chunks of a version that an agent holds, as bits (little-endian).
 
-    ``wanted`` is false where it only gives them to others. ``passes`` are
-    those that it leaves to the next in order at the origin.
+    ``wanted`` is false if the agent only serves them to others. ``passes`` are
+    the chunks whose read from the origin it leaves to the next agent in order.
     """
 
     version: str
@@ -146,14 +147,14 @@
     tag=1,
     kw_only=True,
 ):
-    """The sender's word and what it knows.
-
-    ``revision`` counts the published records that the sender has.
-    ``confirmed_s`` is how long ago the platform was last heard by any process
-    that the sender knows of. ``asks_for_reply`` wants the receiver's word.
-    ``is_alone`` is set by one that knows nobody: the reply to it has
-    ``others``, words of some entries that the sender has heard of.
-    ``sightings`` say how lately entries were heard of.
+    """The sender's status and what it knows of others.
+
+    ``revision`` is the revision of the published records that the sender has.
+    ``confirmed_s`` is how long ago the platform last answered any process
+    that the sender knows of. ``asks_for_reply`` requests the receiver's
+    status. ``is_alone`` is set by a sender that knows no other process: the
+    reply has ``others``, the status of some entries known to the replier.
+    ``sightings`` are last-seen entries.
     """
 
     word: MemberWord
@@ -172,13 +173,13 @@
 
 @frozen(kw_only=True)
 class PublishedItem:
-    """A published record as it stands at the platform.
+    """A published record as the platform has it.
 
-    ``payload`` is None where the record was taken away at ``revision``. Where
-    ``is_deflated`` is set it is the published value deflated, as one process
-    has done for all others; the revision alone says which record it is.
-    ``age_s`` is how long ago the sender saw it published, negative where it
-    found it already there.
+    ``payload`` is None if the record was removed at ``revision``. If
+    ``is_deflated`` is set, the payload is compressed: one process compresses
+    it for all others. The revision alone identifies the record. ``age_s`` is
+    how long ago the sender saw it published, negative if it was already
+    published when the sender first read it.
     """
 
     key: str
@@ -190,9 +191,9 @@
 
 @frozen
 class ChangesAsk:
-    """Ask for what was published after a revision.
+    """Request all records published after a revision.
 
-    ``takes_deflated`` isn't set by releases that can't inflate a payload.
+    ``takes_deflated`` isn't set by releases that can't decompress a payload.
     """
 
     after: int
@@ -201,10 +202,10 @@
 
 @frozen(kw_only=True)
 class Changes:
-    """All that was published after the revision asked for.
+    """All records published after the requested revision.
 
-    ``is_whole`` is set where the list is all there is, whatever was asked:
-    what isn't listed is gone.
+    ``is_whole`` is set if the list is complete, whichever revision was
+    requested: records that aren't listed were removed.
     """
 
     through: int
@@ -214,9 +215,9 @@
 
 
 class RecordAge(msgspec.Struct, frozen=True, array_like=True):
-    """How long ago a record was published, without the record.
+    """The age of a published record, without its payload.
 
-    It is the age of the record with this key and revision, and of no other.
+    The age applies only to the record with this key and revision.
     """
 
     key: str
@@ -226,14 +227,14 @@
 
 @frozen
 class AgesAsk:
-    """Ask for the ages of the records that stand."""
+    """Request the ages of the current records."""
 
 
 @frozen
 class Ages:
-    """Ages of the records that stand, as far as the sender knows them.
+    """Ages of the current records, as far as the sender knows them.
 
-    What isn't listed is of unknown age; nothing follows on whether it stands.
+    A record that isn't listed is of unknown age, but may be current.
     """
 
     ages: tuple[RecordAge, ...] = ()
--- a/packages/model/src/crowrudder_model/messages/_knowledge.py
+++ b/packages/model/src/crowrudder_model/messages/_knowledge.py
@@ -1,4 +1,4 @@
-"""Messages by which processes tell each other of configuration and peers."""
+"""Messages with which processes exchange configuration and member lists."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 @frozen(kw_only=True)
 class ProcessNews:
-    """A word about a process: its own, or a peer's suspicion.
+    """A process's status: its own, or a peer's suspicion.
 
-    ``beat`` starts at the process's start in milliseconds since 1970 and is
-    raised by the process alone, so that a later life's word beats an earlier
-    one's, and a process refutes a suspicion by a higher beat.
+    ``beat`` is a sequence number. It begins with the process's start in
+    milliseconds since 1970, and only the process itself increases it.
+    Therefore the status of a later incarnation supersedes that of an earlier
+    one, and a process refutes a suspicion with a higher number.
     """
 
     host: str
@@ -28,9 +29,9 @@
 
 @frozen(kw_only=True, order=True)
 class ListEdition:
-    """Which member list: ``epoch`` counts how often the platform started anew.
+    """Identify a member list; ``epoch`` counts the restarts of the platform.
 
-    ``revision`` is the platform's count; ``digest`` names the content.
+    ``revision`` is the platform's counter; ``digest`` identifies the content.
     """
 
     epoch: int = 0
@@ -40,12 +41,12 @@
 
 @frozen(kw_only=True)
 class Hello:
-    """Opening of an exchange; the answer has the same form.
+    """Hello message that opens an exchange; the reply has the same class.
 
-    It names what the sender has, so that either side sees who is behind.
-    ``read_age_s`` is the age of the last reading of the platform, by any
-    process, that the sender knows of; ``news`` is a bounded part of what it
-    has heard of others.
+    It names the versions that the sender has, so that both sides see which of
+    them is behind. ``read_age_s`` is the age of the last read of the platform
+    by any process that the sender knows of; ``news`` has a bounded number of
+    status messages of other processes.
     """
 
     sender: ProcessNews
@@ -58,7 +59,7 @@
 
 @frozen(kw_only=True)
 class BundlePart:
-    """A bundle, whole or as the way from the one with the digest ``base``.
+    """A bundle: complete, or a delta to the one with the digest ``base``.
 
     ``body`` is compressed: the canonical value, or a `BundleDelta`.
     """
@@ -71,9 +72,9 @@
 
 @frozen(kw_only=True)
 class MembersPart:
-    """A member list, whole or as the way from the one named ``base``.
+    """A member list: complete, or a delta to the one with the digest ``base``.
 
-    ``body`` is compressed: a `MembersDelta`, against nothing if whole.
+    ``body`` is a compressed `MembersDelta`, from an empty list if complete.
     """
 
     edition: ListEdition
@@ -83,7 +84,7 @@
 
 @frozen(kw_only=True)
 class MembersDelta:
-    """Members that are new or differ, and hosts that are gone."""
+    """Members that are new or changed, and hosts that were removed."""
 
     put: tuple[Member, ...] = ()
     dropped: tuple[str, ...] = ()
@@ -91,7 +92,7 @@
 
 @frozen(kw_only=True)
 class TakeAsk:
-    """Ask a peer for what is newer than this; empty parts aren't wanted."""
+    """Request newer data from a peer; empty parts aren't requested."""
 
     host: str
     generation: int
@@ -101,7 +102,7 @@
 
 @frozen(kw_only=True)
 class Knowledge:
-    """What a peer that is behind lacks."""
+    """Newer data for a peer that is behind."""
 
     host: str
     bundle: BundlePart | None = None
--- a/packages/model/src/crowrudder_model/messages/_limits.py
+++ b/packages/model/src/crowrudder_model/messages/_limits.py
@@ -1,4 +1,4 @@
-"""Datagrams on limits that upstreams name in their answers."""
+"""Datagrams with the limits that upstreams state in their answers."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class LimitWord(msgspec.Struct, frozen=True, array_like=True):
-    """What an upstream said last of its limit, as an entry has heard it.
+    """The limit that an upstream stated last, as an entry has received it.
 
-    ``per_s`` is how many requests a second it takes from all entries together,
-    -1 for no limit. ``age_ms`` is the age of the answer, in milliseconds.
+    ``per_s`` is how many requests a second it accepts from all entries
+    together, -1 for no limit. ``age_ms`` is the age of the answer, in
+    milliseconds.
     """
 
     upstream_id: str
@@ -18,6 +19,6 @@
 
 
 class LimitNews(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Words on the limits of some upstreams."""
+    """Limit reports of some upstreams."""
 
     words: tuple[LimitWord, ...]
--- a/packages/model/src/crowrudder_model/messages/_report.py
+++ b/packages/model/src/crowrudder_model/messages/_report.py
@@ -1,4 +1,4 @@
-"""An agent's report of its state to the entries that use it."""
+"""An agent's state and capacity reports to the entries that use it."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @frozen(kw_only=True)
 class ReportAsk:
-    """Ask for a stream of reports, one each ``interval_s`` and on change.
+    """Request a stream of reports, one every ``interval_s`` and on change.
 
-    ``entry`` is the incarnation that asks.
+    ``entry`` is the incarnation that requests it.
     """
 
     host: str
@@ -22,9 +22,10 @@
     """State of an agent at the moment of sending.
 
     ``service_s`` is the mean time in seconds that one attempt holds a slot,
-    ``pace_s`` the same for one piece of an answer, and ``silent_s`` the time
-    since the upstream gave anything while it had work. ``yours`` is the part of
-    running and queued that the reader has sent: it knows its own part better.
+    ``pace_s`` the mean time for one piece of an answer, and ``silent_s`` the
+    time since the last output of an upstream that has work. ``yours`` is the
+    number of running and queued attempts that the receiver sent; the receiver
+    itself has the more recent count of these.
     """
 
     host: str
@@ -46,7 +47,7 @@
 
 @frozen(kw_only=True)
 class RoomAsk:
-    """Ask how long one more attempt of a customer would wait now."""
+    """Request the current wait for one more attempt of a customer."""
 
     service: str
     customer: str
@@ -55,9 +56,9 @@
 
 @frozen(kw_only=True)
 class RoomReply:
-    """The wait for a slot in seconds; negative where nothing is taken in.
+    """The wait for a slot in seconds; negative if no attempt is accepted.
 
-    ``filled`` is the number of attempts there over the number of slots.
+    ``filled`` is the number of attempts divided by the number of slots.
     """
 
     wait_s: float
--- a/packages/model/src/crowrudder_model/messages/_run.py
+++ b/packages/model/src/crowrudder_model/messages/_run.py
@@ -1,9 +1,10 @@
 """Messages of one attempt at a request, between an entry and an agent.
 
 Sequence: the entry opens a stream and sends an `Attempt`; the agent answers
-`Queued` or `Refusal`; when its turn comes it sends `PermitAsk` and waits for a
-`Permit`; then come `Piece` messages and one `Final`. Nothing after a broken
-stream is assumed: the entry asks the same incarnation with `SettleAsk`.
+`Queued` or `Refusal`. When a slot is free for the attempt, the agent sends
+`PermitAsk` and waits for a `Permit`. `Piece` messages and one `Final` follow.
+After a broken stream the entry assumes nothing: it asks the same incarnation
+with `SettleAsk`.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 
 @frozen(kw_only=True)
 class AttemptKey:
-    """Name one attempt at one request.
+    """Identify one attempt at one request.
 
-    ``serial`` counts the requests of the entry: an id that did not run may
-    come again, and its attempts are others than the first ones.
+    ``serial`` counts the requests of the entry. A caller may reuse the id of a
+    request that did not run; the serial distinguishes the attempts of the two.
 
     Example
     -------
@@ -36,16 +37,16 @@
     serial: int = 0
 
     def __str__(self) -> str:
-        """Give the short form for logs."""
+        """Return the short form for logs."""
         return f'{self.request_id}/{self.serial}.{self.attempt}@{self.entry}'
 
 
 @frozen(kw_only=True)
 class Attempt:
-    """What an agent needs to know to queue and run an attempt.
+    """All that an agent needs to queue and run an attempt.
 
-    ``budget_s`` is the time left in seconds when the message was sent: clocks
-    of two hosts differ, so no point in time is ever sent.
+    ``budget_s`` is the remaining time in seconds when the message was sent.
+    The clocks of two hosts differ, so absolute times are never sent.
     """
 
     key: AttemptKey
@@ -57,7 +58,7 @@
     model: str = ''
     adapter: str = ''
     version: str = ''
-    """The only version that may answer; empty where any in force may."""
+    """The only version that may answer; empty if any version in force may."""
     prompt: str = ''
     max_tokens: int = 0
     resume_from: int = 0
@@ -66,12 +67,12 @@
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b''
     share: float = 0
-    """The part of the slots that is declared for the customer."""
+    """The share of the slots that is declared for the customer."""
 
 
 @frozen(kw_only=True)
 class Permit:
-    """The owner's word on whether the attempt may start."""
+    """The owner's decision whether the attempt may start."""
 
     key: AttemptKey
     granted: bool
@@ -81,7 +82,7 @@
 class Cancel:
     """The owner no longer wants the attempt.
 
-    A call of its own: a stream whose reader was cancelled can't send it.
+    A separate call, as a stream whose reader was cancelled can't send it.
     """
 
     key: AttemptKey
@@ -96,13 +97,13 @@
 
     @property
     def body(self) -> Attempt | Permit | None:
-        """The message inside."""
+        """The field that is set."""
         return self.attempt or self.permit
 
 
 @frozen(kw_only=True)
 class Queued:
-    """The attempt waits; how many are before it, how long it may take."""
+    """The attempt is queued: how many are ahead, and the expected wait."""
 
     ahead: int
     wait_s: float
@@ -110,7 +111,7 @@
 
 @frozen(kw_only=True)
 class Refusal:
-    """The attempt will never start here."""
+    """The agent refuses the attempt and will never start it."""
 
     reason: str
     retry_after_s: float = 1
@@ -118,7 +119,7 @@
 
 @frozen(kw_only=True)
 class PermitAsk:
-    """The agent is about to hand the attempt to the upstream."""
+    """Request the owner's permit to send the attempt to the upstream."""
 
     key: AttemptKey
     version: str
@@ -126,7 +127,7 @@
 
 @frozen(kw_only=True)
 class Piece:
-    """A part of the answer; ``index`` counts tokens (or parts) from 0."""
+    """A piece of the answer; ``index`` counts tokens (or pieces) from 0."""
 
     request_id: str
     version: str
@@ -137,10 +138,10 @@
 
 @frozen(kw_only=True)
 class Final:
-    """The end of the attempt; its absence means that it did not end.
+    """The end of the attempt; without it the attempt did not end.
 
     ``status`` and ``headers`` carry a plain service's answer. ``is_unreached``
-    is set where no connection to the upstream could be opened.
+    is set if no connection to the upstream could be opened.
     """
 
     request_id: str
@@ -154,7 +155,7 @@
 
 
 class SettledState(enum.Enum):
-    """What an agent says of an attempt that the entry lost sight of."""
+    """An agent's answer on an attempt whose stream broke."""
 
     ATTACHED = 'attached'
     NEVER_STARTS = 'never_starts'
@@ -163,7 +164,7 @@
 
 @frozen(kw_only=True)
 class SettleAsk:
-    """Ask the agent to settle an attempt and go on from a piece."""
+    """Request the state of an attempt, and its answer from a piece on."""
 
     key: AttemptKey
     incarnation: str
@@ -172,7 +173,7 @@
 
 @frozen(kw_only=True)
 class Settled:
-    """The agent's binding word on a lost attempt."""
+    """The agent's binding answer on an attempt whose stream broke."""
 
     state: SettledState
 
@@ -192,7 +193,7 @@
     def body(
         self,
     ) -> Queued | Refusal | PermitAsk | Piece | Final | Settled | None:
-        """The message inside."""
+        """The field that is set."""
         return (
             self.queued
             or self.refusal
--- a/packages/model/src/crowrudder_model/messages/_suspects.py
+++ b/packages/model/src/crowrudder_model/messages/_suspects.py
@@ -1,4 +1,4 @@
-"""Datagrams on requests under which upstreams have ended."""
+"""Datagrams on requests during which upstreams ended."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class LifeEnd(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream's life that ended while it had a request.
+    """An incarnation of an upstream that ended while it had the request.
 
-    ``ended_ms`` is how long ago, in milliseconds. ``is_fresh`` is set where the
-    request had not begun there, or had begun just before.
+    ``ended_ms`` is how long ago, in milliseconds. ``is_fresh`` is set if the
+    request had not begun there, or had begun just before the end.
     """
 
     life: str
@@ -18,10 +18,10 @@
 
 
 class SuspectWord(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender knows of one request, named by its digest.
+    """What the sender knows of one request, identified by its digest.
 
-    ``whole_ms`` is how long ago a run of it ended whole, -1 for never;
-    ``refused_ms`` the same for its last refusal. Both in milliseconds.
+    ``whole_ms`` is how long ago a run of it completed, ``refused_ms`` how long
+    ago it was last refused. Both are in milliseconds, -1 for never.
     """
 
     digest: int
@@ -36,6 +36,6 @@
     array_like=True,
     tag=5,
 ):
-    """Words on some requests."""
+    """Suspicion reports on some requests."""
 
     words: tuple[SuspectWord, ...]
--- a/packages/model/src/crowrudder_model/messages/_weights.py
+++ b/packages/model/src/crowrudder_model/messages/_weights.py
@@ -1,4 +1,4 @@
-"""Messages between agents about chunks of weights."""
+"""Messages with which agents transfer chunks of weights."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class StockAsk:
-    """Ask which chunks of a version an agent holds, verified."""
+    """Request which verified chunks of a version an agent holds."""
 
     host: str
     version: str
@@ -19,9 +19,10 @@
     """Bit i of ``chunks`` (little-endian) is set when chunk i is held.
 
     ``passes`` are, as bits, the chunks that the agent tried to read from the
-    origin and leaves to the next in order; ``wants`` is false when it doesn't
-    know that it shall have the version. ``loaded`` is the version with which
-    the engine answers; ``busy`` tells how many upload slots are taken.
+    origin and leaves to the next agent in order; ``wants`` is false if it
+    hasn't learnt that it is to hold the version. ``loaded`` is the version
+    with which the engine answers; ``busy`` is the number of upload slots in
+    use, out of ``slots``.
     """
 
     host: str
@@ -37,7 +38,7 @@
 
 @frozen(kw_only=True)
 class ManifestAsk:
-    """Ask for a version's manifest."""
+    """Request a version's manifest."""
 
     version: str
     manifest: str
@@ -45,14 +46,14 @@
 
 @frozen(kw_only=True)
 class ManifestReply:
-    """The manifest's bytes; empty where the agent has none."""
+    """The manifest's bytes; empty if the agent has none."""
 
     payload: bytes
 
 
 @frozen(kw_only=True)
 class ChunkAsk:
-    """Ask for one chunk; ``stock`` is what the asking agent holds."""
+    """Request one chunk; ``stock`` is the inventory of the requesting agent."""
 
     host: str
     version: str
@@ -65,8 +66,9 @@
 class ChunkPiece:
     """Some bytes of a chunk, in order.
 
-    The first piece tells what the agent holds; ``busy`` when no upload slot
-    is free, ``absent`` when it doesn't hold the chunk. Then nothing follows.
+    The first piece carries the sender's inventory as ``stock``. It sets
+    ``busy`` if no upload slot is free and ``absent`` if the sender doesn't
+    hold the chunk; in both cases no piece follows.
     """
 
     payload: bytes = b''
--- a/packages/model/src/crowrudder_model/rpc/__init__.py
+++ b/packages/model/src/crowrudder_model/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""The table of remote calls between crowrudder processes."""
+"""The RPC methods between crowrudder processes."""
 
 from crowrudder_model.rpc._methods import (
     AGES,
--- a/packages/model/src/crowrudder_model/rpc/_methods.py
+++ b/packages/model/src/crowrudder_model/rpc/_methods.py
@@ -1,4 +1,4 @@
-"""Name, message classes and shape of each remote call."""
+"""Name, message classes and streaming kind of each RPC method."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CallKind(enum.Enum):
-    """How many messages go each way."""
+    """Which sides of a call send a stream of messages."""
 
     UNARY = 'unary'
     DOWN_STREAM = 'down_stream'
@@ -25,7 +25,7 @@
 
 @frozen
 class Method(Generic[_Ask, _Reply]):
-    """One remote call.
+    """One RPC method.
 
     Example
     -------
@@ -40,7 +40,7 @@
 
     @property
     def path(self) -> str:
-        """The path by which gRPC knows the call."""
+        """The gRPC path of the method."""
         return f'/{SERVICE_NAME}/{self.name}'
 
 
--- a/tests/fuzz/test_calls.py
+++ b/tests/fuzz/test_calls.py
@@ -80,16 +80,16 @@
     st.integers().map(str),
     st.sampled_from(('c', '0', '９', '1e3', '-1', 'a' * 200, '9' * 5000)),
 )
-# A text that no UTF-8 can hold.
+# A string that can't be encoded as UTF-8.
 LONE_SURROGATE = b'{"model":"m","prompt":"%sud800"}' % b'\\'
 COMPLETION = b'{"model":"m","prompt":"p","max_tokens":8,"stream":true}'
 
 
 class TestMessages:
-    """Symptom: `RecursionError` in place of `MalformedMessageError`.
+    """Guard against `RecursionError` in place of `MalformedMessageError`.
 
-    Sequence: a peer sends an unknown key with 5,000 nested lists.
-    Cause: the decoder skips them by recursion, and its error wasn't caught.
+    The decoder skips unknown keys recursively, so a key with 5,000 nested
+    lists from a peer raises an error that must be caught.
     """
 
     @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
 
 
 async def answers_of(garbage: bytes) -> tuple[object, object]:
-    """Ask a peer that answers with these bytes: once, and by a stream."""
+    """Return the outcomes of a call and a stream that get these bytes."""
 
     async def reply(_ask: bytes, _context: object) -> bytes:
         return garbage
@@ -160,12 +160,12 @@
 
 
 class TestPeers:
-    """Symptom: an answer that can't be read looked like an orderly end.
+    """Guard against a malformed answer that looks like a normal end.
 
-    Sequence: a peer answers a call, or sends a message of a stream, with bytes
-    that are no message of that class.
-    Cause: grpcio logs what a deserializer raises and gives None in its place:
-    None is the end of a stream here, and no reply that a caller expects.
+    A peer answers a call, or sends a message of a stream, with bytes that
+    aren't a message of the expected class. grpcio logs what a deserializer
+    raises and returns None instead: None is the end of a stream here, and not
+    a reply that callers of a unary call expect.
     """
 
     @pytest.mark.parametrize('garbage', [b'', b'\xc0', b'\xff' * 9, DEEP_MAP])
@@ -176,11 +176,11 @@
 
 
 class TestEngineEvents:
-    """Symptom: a run ended by a fault that no handler expects.
+    """Guard against unhandled decoder errors that end a run.
 
-    Sequence: an engine sends an event with a name that isn't UTF-8, or with
-    a body that isn't the JSON of a token.
-    Cause: the errors of the decoders went on as they were.
+    An engine sends an event with a name that isn't UTF-8, or with a body that
+    isn't the JSON of a token. The decoders' errors must be converted to
+    `UpstreamError`.
     """
 
     GOOD = (
--- a/tests/fuzz/test_declared.py
+++ b/tests/fuzz/test_declared.py
@@ -58,7 +58,7 @@
 
 
 def with_odd(encoded: bytes, odd: Any, place: int) -> Any:
-    """Put an odd value in one place of a good one, counted depth first."""
+    """Return a decoded value with one node, by depth-first index, replaced."""
     left = [place]
 
     def walk(node: Any) -> Any:
@@ -132,10 +132,10 @@
 
 
 class TestManifest:
-    """Symptom: a fault that no handler expects, in place of `ManifestError`.
+    """Guard against an unhandled `RecursionError` in place of `ManifestError`.
 
-    Sequence: the files declare the digest of bytes that nest 5,000 lists.
-    Cause: `RecursionError` was not among the errors of the decoder.
+    The decoder raises it if the files declare the digest of bytes that nest
+    5,000 lists.
     """
 
     @given(bad_bytes(MANIFEST))
@@ -166,10 +166,10 @@
 
 
 class TestPlatform:
-    """Symptom: the loop that reads the platform met a fault it didn't expect.
+    """Guard against an unhandled error in the loop that reads the platform.
 
-    Sequence: the platform answers with an `X-Revision` of 5,000 digits.
-    Cause: Python refuses to read so long a number, by a `ValueError`.
+    If the platform answers with an `X-Revision` of 5,000 digits, Python raises
+    `ValueError`, as it doesn't parse numbers of that length.
     """
 
     @given(st.text(max_size=9) | st.integers().map(str))
--- a/tests/fuzz/test_edges.py
+++ b/tests/fuzz/test_edges.py
@@ -40,8 +40,8 @@
 )
 
 
-async def misses() -> list[str]:
-    """Send all calls to one entry at once."""
+async def failed_checks() -> list[str]:
+    """Send all hostile calls to one entry at once; return failed checks."""
     async with Path(agents=0) as path:
         (entry,) = path.entries
         entry.requests.post(SnapshotCame(SNAPSHOT))
@@ -66,17 +66,17 @@
 
 
 class TestHostileCalls:
-    """Symptom: callers were told of faults inside the entry, or nothing.
+    """Guard against callers that get internal errors or no error details.
 
-    Sequence: a method that isn't served gave 405 with the outcome `unknown`;
-    an unknown path no `X-Request-Id`; an adapter that isn't declared 503, so
-    that its caller tries for ever; a plain service named as the model was
-    taken for one. A body over `max_body_bytes` gave a bare 400.
-    Cause: each was left to a default that is made for something else.
+    Without an answer of its own, each of these calls gets an unsuitable
+    default: a method that isn't served 405 with the outcome `unknown`; an
+    unknown path no `X-Request-Id`; an undeclared adapter 503, so that its
+    caller retries forever; a body over `max_body_bytes` a 400 without error
+    body. A plain service named as the model is treated as a model.
     """
 
     def test_each_gets_its_own_error(self):
-        assert run(misses()) == []
+        assert run(failed_checks()) == []
 
 
 class TestCheck:
@@ -92,6 +92,6 @@
             evolve(REFUSED, body=ERROR.replace(b'code', b'cod')),
         ],
     )
-    def test_finds_what_is_missing(self, answer):
+    def test_each_incomplete_answer_is_reported(self, answer):
         assert REFUSED.miss() == ''
         assert answer.miss().startswith('n: ')
--- a/tests/model/test_declared.py
+++ b/tests/model/test_declared.py
@@ -52,14 +52,14 @@
 
 
 class TestBundle:
-    def test_comes_back_as_it_went(self) -> None:
+    def test_round_trip_keeps_the_bundle(self) -> None:
         assert decode_bundle(encode_bundle(SMALL)) == bundle_of(SMALL)
 
-    def test_order_of_the_parts_leaves_the_digest(self) -> None:
-        turned = evolve(SMALL, services=SMALL.services[::-1])
-        assert encode_bundle(turned) == encode_bundle(SMALL)
+    def test_digest_ignores_the_order_of_parts(self) -> None:
+        reordered = evolve(SMALL, services=SMALL.services[::-1])
+        assert encode_bundle(reordered) == encode_bundle(SMALL)
 
-    def test_every_half_value_is_refused(self) -> None:
+    def test_every_truncated_value_is_refused(self) -> None:
         whole = encode_bundle(SMALL)
         for end, _ in enumerate(whole):
             with pytest.raises(BundleError):
@@ -73,7 +73,7 @@
         with pytest.raises(BundleError, match='not a bundle'):
             decode_bundle(garbage)
 
-    def test_changed_content_shows_in_the_digest(self) -> None:
+    def test_changed_content_fails_the_digest_check(self) -> None:
         changed = encode_bundle(SMALL).replace(
             b'"generation":3', b'"generation":9'
         )
@@ -171,7 +171,7 @@
 
 
 class TestPlacement:
-    def test_depends_on_no_order(self) -> None:
+    def test_independent_of_member_order(self) -> None:
         members = [engine(number, f'd{number % 3}') for number in range(9)]
         first = place(SMALL, members)
         for seed in range(20):
@@ -205,7 +205,7 @@
         ]
         assert place(declaration, members) == {'host-0': listing}
 
-    def test_host_that_leaves_moves_no_other(self) -> None:
+    def test_removed_host_moves_no_other(self) -> None:
         members = [engine(number) for number in range(12)]
         before = place(SMALL, members)
         gone = min(before)
@@ -213,7 +213,7 @@
         assert set(before) - {gone} <= set(after)
         assert len(after) == 4
 
-    def test_plain_service_is_where_its_agents_are(self) -> None:
+    def test_plain_service_runs_beside_its_agents(self) -> None:
         plain = evolve(engine(1), upstream='plain:portal')
         placed = place(SMALL, [plain, engine(2)])
         assert placed['host-1'].name == 'portal'
--- a/tests/model/test_declared_files.py
+++ b/tests/model/test_declared_files.py
@@ -93,7 +93,7 @@
     )
 
 
-def places(faults: tuple[Fault, ...]) -> set[tuple[str, str]]:
+def fault_locations(faults: tuple[Fault, ...]) -> set[tuple[str, str]]:
     return {(fault.section, fault.key) for fault in faults}
 
 
@@ -173,7 +173,7 @@
             ('c.ini', 'version:v', 'manifest'),
         }
 
-    def test_fault_says_where_what_and_what_is_allowed(self) -> None:
+    def test_fault_text_has_location_value_and_rule(self) -> None:
         faults = read_files({'a.ini': '[fleet]\ngeneration = 0'}).faults
         assert [str(fault) for fault in faults] == [
             "a.ini: [fleet] generation: found '0', "
@@ -198,11 +198,11 @@
         faults = read_files({'a.ini': text}).faults
         assert any(said in str(fault) for fault in faults)
 
-    def test_unreadable_file_makes_no_further_faults(self) -> None:
+    def test_unreadable_file_reports_one_fault(self) -> None:
         faults = read_files({**EXAMPLE, 'versions.ini': '[version:'}).faults
         assert [fault.file for fault in faults] == ['versions.ini']
 
-    def test_page_is_the_schema(self) -> None:
+    def test_reference_page_matches_the_rules(self) -> None:
         assert PAGE.read_text(encoding='utf-8') == reference_page()
 
 
@@ -238,26 +238,28 @@
             ),
         ],
     )
-    def test_wrong_successor(
+    def test_invalid_successor_is_reported(
         self,
         change: dict[str, Any],
         place: tuple[str, str],
     ) -> None:
         faults = publishing_faults(evolve(NEXT, **change), previous=IN_FORCE)
-        assert places(faults) == {place}
+        assert fault_locations(faults) == {place}
 
-    def test_unused_section_may_go(self) -> None:
+    def test_unused_section_may_be_deleted(self) -> None:
         spare = evolve(BEFORE.versions[0], name='listing-v0')
         more = evolve(BEFORE, versions=(*BEFORE.versions, spare))
         in_force = bundle_of(more)
         after = evolve(NEXT, parent=in_force.digest)
         assert publishing_faults(after, previous=in_force) == ()
 
-    def test_service_that_never_finds_a_host(self) -> None:
+    def test_service_without_eligible_hosts_is_reported(self) -> None:
         greedy = evolve(LISTING, name='a', replicas=0)
         confined = evolve(LISTING, name='b', regions=('north',))
         both = evolve(NEXT, services=(greedy, confined), customers=())
-        assert places(publishing_faults(both)) == {('service:b', 'replicas')}
+        assert fault_locations(publishing_faults(both)) == {
+            ('service:b', 'replicas')
+        }
         elsewhere = evolve(greedy, regions=('south',))
         both = evolve(NEXT, services=(elsewhere, confined), customers=())
         assert publishing_faults(both) == ()
@@ -265,15 +267,15 @@
     def test_more_replicas_than_hosts(self) -> None:
         assert publishing_faults(NEXT, members=hosts(4)) == ()
         faults = publishing_faults(NEXT, members=hosts(3))
-        assert places(faults) == {('service:listing', 'replicas')}
+        assert fault_locations(faults) == {('service:listing', 'replicas')}
 
-    def test_rate_beyond_the_slots(self) -> None:
+    def test_rate_above_the_capacity_of_the_slots(self) -> None:
         customer = Customer('c', rate_per_s=641, services=('listing',))
         faults = publishing_faults(evolve(NEXT, customers=(customer,)))
-        assert places(faults) == {('customer:c', 'rate_per_s')}
+        assert fault_locations(faults) == {('customer:c', 'rate_per_s')}
         assert '640 at most' in str(faults[0])
 
     def test_over_a_megabyte(self) -> None:
         many = tuple(Model(f'{number:064}') for number in range(16000))
         faults = publishing_faults(evolve(NEXT, models=many))
-        assert places(faults) == {('fleet', '')}
+        assert fault_locations(faults) == {('fleet', '')}
--- a/tests/model/test_gossip.py
+++ b/tests/model/test_gossip.py
@@ -22,7 +22,7 @@
     SuspectWord,
 )
 
-WORD = MemberWord(
+STATUS = MemberWord(
     ip='10.1.0.40',
     role='entry',
     incarnation='0123456789abcdef',
@@ -33,15 +33,15 @@
     ready=True,
 )
 BEAT = Heartbeat(
-    word=WORD,
+    word=STATUS,
     revision=400,
     confirmed_s=0.25,
-    others=tuple(HeardWord(WORD, 0.5) for _ in range(8)),
+    others=tuple(HeardWord(STATUS, 0.5) for _ in range(8)),
 )
 LOAD = EngineLoad(
     address='10.1.0.43:8001', reachable=True, weights=3, running=16, queued=2
 )
-NEWS = ChunkNews(
+INVENTORY = ChunkNews(
     version='model@3', manifest='f' * 64, chunks=b'\xff' * 6, passes=b''
 )
 SUSPECTS = SuspectNews(
@@ -61,23 +61,27 @@
 
 
 class TestDatagrams:
-    @pytest.mark.parametrize('datagram', [BEAT, LOAD, NEWS, SUSPECTS, LIMITS])
-    def test_each_kind_says_which_it_is(self, datagram):
+    @pytest.mark.parametrize(
+        'datagram', [BEAT, LOAD, INVENTORY, SUSPECTS, LIMITS]
+    )
+    def test_tag_selects_the_message_class(self, datagram):
         assert decode_datagram(encode_message(datagram)) == datagram
 
-    @pytest.mark.parametrize('datagram', [BEAT, LOAD, NEWS, SUSPECTS, LIMITS])
-    def test_each_fits_into_one_packet(self, datagram):
+    @pytest.mark.parametrize(
+        'datagram', [BEAT, LOAD, INVENTORY, SUSPECTS, LIMITS]
+    )
+    def test_datagram_fits_into_one_packet(self, datagram):
         assert len(encode_message(datagram)) <= ETHERNET_BYTES
 
     def test_a_load_is_a_tenth_of_a_heartbeat(self):
-        """Words on load took a tenth of each slow link.
+        """Guard against load reports that take a tenth of each slow link.
 
-        Symptom: streams pause though little weight moves. Sequence: each
-        change of load goes to every entry, with names of fields and the
-        sender's whole word. Cause: one kind of datagram for everything.
+        Each change of load is sent to every entry. With one datagram class
+        for everything, reports carried field names and the sender's complete
+        status, and streams paused though few weights moved.
         """
         assert len(encode_message(LOAD)) <= 48
-        assert len(encode_message(NEWS)) <= 120
+        assert len(encode_message(INVENTORY)) <= 120
 
     @given(payload=st.binary(max_size=120))
     def test_any_bytes_are_a_datagram_or_an_error(self, payload):
@@ -86,8 +90,8 @@
         except MalformedMessageError as exc:
             assert exc.peer == '10.0.0.1'
 
-    def test_a_word_on_a_request_is_a_tenth_of_a_packet(self):
-        """They go to all entries while upstreams end one after the other."""
+    def test_suspicion_report_is_a_tenth_of_a_packet(self):
+        """Reports are sent to all entries while upstreams end in succession."""
         one = SuspectNews(SUSPECTS.words[:1])
         assert len(encode_message(one)) <= ETHERNET_BYTES / 10
 
--- a/tests/model/test_messages.py
+++ b/tests/model/test_messages.py
@@ -15,18 +15,18 @@
 
 
 @frozen(kw_only=True)
-class OldWord:
+class OldMessage:
     host: str
 
 
 @frozen(kw_only=True)
-class NewWord:
+class NewMessage:
     host: str
     beat: int = 0
 
 
 class TestEnvelope:
-    def test_body_is_the_one_message_inside(self):
+    def test_body_returns_the_field_that_is_set(self):
         final = Final(request_id='r', outcome=Outcome.FAILED)
         down = decode_message(encode_message(RunDown(final=final)), RunDown)
         assert down.body == final
@@ -48,12 +48,12 @@
         assert down.piece == piece
 
 
-class TestReleasesSideBySide:
-    def test_new_field_with_a_default_is_read_by_old_and_new(self):
-        new = encode_message(NewWord(host='a', beat=3))
-        old = encode_message(OldWord(host='a'))
-        assert decode_message(new, OldWord) == OldWord(host='a')
-        assert decode_message(old, NewWord) == NewWord(host='a')
+class TestReleaseCompatibility:
+    def test_field_with_default_is_compatible_both_ways(self):
+        new = encode_message(NewMessage(host='a', beat=3))
+        old = encode_message(OldMessage(host='a'))
+        assert decode_message(new, OldMessage) == OldMessage(host='a')
+        assert decode_message(old, NewMessage) == NewMessage(host='a')
 
 
 class TestGarbage:
@@ -64,7 +64,7 @@
         except MalformedMessageError as exc:
             assert exc.peer == '10.0.0.1:7'
 
-    def test_half_a_message_is_refused(self):
+    def test_truncated_message_is_refused(self):
         whole = encode_message(RunDown(final=None))
         with pytest.raises(MalformedMessageError, match='RunDown'):
             decode_message(whole[: len(whole) // 2], RunDown)
