--- a/packages/daemon/src/crowrudder_daemon/_audit.py
+++ b/packages/daemon/src/crowrudder_daemon/_audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: what changed in a process, when, and on whose word."""
+"""The audit trail: what changed in a process, when, and by which source."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 class AuditEvent:
     """One change.
 
-    `at` is wall time in seconds since 1970; `teller` is who told of the change:
-    the platform, a peer's host name, the upstream or this process.
+    `at` is wall time in seconds since 1970; `teller` is the source of the
+    change: the platform, a peer's host name, the upstream or this process.
     """
 
     seq: int
@@ -40,8 +40,8 @@
 class AuditTrail:
     """The last `capacity` events; numbers start at 1 and have no gaps.
 
-    A reader that was away too long sees the gap in the numbers. The bound
-    keeps a flapping host list from growing the process without end.
+    A reader that polls too late sees a gap in the numbers. The bound keeps a
+    flapping host list from growing memory without limit.
 
     >>> trail = AuditTrail(capacity=1)
     >>> for version in ('1', '2'):
@@ -70,7 +70,7 @@
         before: str,
         after: str,
     ) -> AuditEvent:
-        """Append an event and give it the next number."""
+        """Append an event with the next number."""
         if kind not in AUDIT_KINDS:
             allowed = ', '.join(sorted(AUDIT_KINDS))
             raise ValueError(f'audit kind {kind!r}: only {allowed}')
@@ -88,5 +88,5 @@
         return event
 
     def after(self, seq: int) -> tuple[AuditEvent, ...]:
-        """List the events kept with a number above `seq`, oldest first."""
+        """Return the retained events numbered above `seq`, oldest first."""
         return tuple(event for event in self._events if event.seq > seq)
--- a/packages/daemon/src/crowrudder_daemon/_callers_port.py
+++ b/packages/daemon/src/crowrudder_daemon/_callers_port.py
@@ -1,4 +1,4 @@
-"""The port on which callers reach an entry."""
+"""The listening port for callers of an entry."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 
 
 class CallersPort:
-    """Accepts connections for an HTTP server; nobody is left in the queue.
+    """Accepts connections for an HTTP server and empties the queue on close.
 
-    The system completes connections before the process takes them. A port
-    that is just closed resets those that wait, and their callers, who have
-    sent a request by then, can't tell whether it ran. So the last ones are
-    taken before the port closes, to be refused in words.
+    The kernel completes connections before the process accepts them. Closing
+    the port resets those in the accept queue, and their callers, which may
+    have sent a request, can't know whether it ran. So they are accepted before
+    the port closes, and refused with a response.
     """
 
     def __init__(self, http: HTTPServer) -> None:
         self._http = http
         self._sockets: list[socket.socket] = []
-        self._endings: list[Callable[[], None]] = []
+        self._remove_handlers: list[Callable[[], None]] = []
 
     def listen(self, port: int, address: str) -> None:
         """Open the port."""
         self._sockets = bind_sockets(port, address)
-        self._endings = [
+        self._remove_handlers = [
             add_accept_handler(each, self._on_connection)
             for each in self._sockets
         ]
 
     def close(self) -> None:
-        """Take what waits, then refuse connections."""
-        for end in self._endings:
-            end()
+        """Accept queued connections, then close the port."""
+        for remove_handler in self._remove_handlers:
+            remove_handler()
         for each in self._sockets:
-            # Nothing waits any more, or the last one has gone.
+            # The queue is empty, or a queued connection was reset.
             with contextlib.suppress(BlockingIOError, ConnectionError):
                 while True:
                     self._on_connection(*each.accept())
             each.close()
-        self._sockets, self._endings = [], []
+        self._sockets, self._remove_handlers = [], []
 
     def _on_connection(self, connection: socket.socket, address: Any) -> None:
         stream = IOStream(
--- a/packages/daemon/src/crowrudder_daemon/_clock.py
+++ b/packages/daemon/src/crowrudder_daemon/_clock.py
@@ -1,4 +1,4 @@
-"""The clock by which a fleet's processes judge ages and deadlines."""
+"""The clock for ages and deadlines in a fleet's processes."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def clock_s() -> float:
-    """Give seconds since the host's start, times of suspension included.
+    """Return seconds since the host's boot, including time suspended.
 
-    The event loop's clock stands still while a host is suspended. A process
-    that woke up would take a request whose caller has long gone for a fresh
-    one, seen as work begun after its deadline.
+    The event loop's clock stops while a host is suspended. With it, a resumed
+    process would treat a request whose caller has left as a fresh one, and
+    begin work after its deadline.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/daemon/src/crowrudder_daemon/_lifecycle.py
+++ b/packages/daemon/src/crowrudder_daemon/_lifecycle.py
@@ -1,4 +1,4 @@
-"""Start, serve, drain and stop: the same for every role."""
+"""Start, serve, drain and stop a process of any role."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 EXIT_CUT_OFF = 3
 
 CLOSE_S = 5.0
-"""Longest time in seconds for one step of closing.
+"""Timeout of one shutdown step in seconds.
 
-The slowest step ends its remote calls after a grace of one second
-(`LEAVE_GRACE_S` of the roles); five leaves room for a busy machine.
+The slowest step cancels its remote calls after a grace period of one second
+(`LEAVE_GRACE_S` of the roles); five seconds allow for a busy machine.
 """
 
 
 class Phase(enum.Enum):
-    """Where a process is in its life."""
+    """Phase of a process."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -45,18 +45,18 @@
 
 @define
 class Stop:
-    """The wish to end: the first asks for a drain, the second cuts it off."""
+    """A stop request: the first starts the drain, the second cancels it."""
 
-    asked: asyncio.Event = field(factory=asyncio.Event)
-    hurried: asyncio.Event = field(factory=asyncio.Event)
+    requested: asyncio.Event = field(factory=asyncio.Event)
+    forced: asyncio.Event = field(factory=asyncio.Event)
     teller: str = ''
 
     def ask(self, teller: str) -> None:
-        """Note a signal, or another wish to end."""
-        if self.asked.is_set():
-            self.hurried.set()
+        """Record a signal or another request to stop."""
+        if self.requested.is_set():
+            self.forced.set()
         self.teller = self.teller or teller
-        self.asked.set()
+        self.requested.set()
 
 
 @define
@@ -68,12 +68,12 @@
     phase: Phase = Phase.STARTING
     admin_port: int = 0
     stuck: bool = False
-    """Whether some part of the process did not end when told to."""
+    """Whether some part of the process did not end within its timeout."""
 
     _started_s: float = field(factory=time.monotonic)
 
     async def run(self, stop: Stop) -> int:
-        """Serve until `stop` is asked, then drain; return the exit code."""
+        """Serve until a stop is requested, then drain; return the exit code."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._on_loop_fault)
         admin = AdminServer(self._view())
@@ -86,7 +86,7 @@
             self.runtime.metrics.close()
 
     def status(self) -> dict[str, Any]:
-        """Describe the role and, over it, the process."""
+        """Return the status of the role, with the keys of the process."""
         process = self.runtime.cfg.process
         return {
             **self.role.status(),
@@ -100,7 +100,7 @@
         }
 
     def readiness(self) -> list[str]:
-        """List why the process can't serve."""
+        """Return the reasons why the process can't serve."""
         if self.phase is Phase.SERVING:
             return self.role.readiness()
         return [self.phase.value]
@@ -111,31 +111,31 @@
             self.admin_port = admin.listen(process.address, process.admin_port)
             await self.role.start()
         except Exception:
-            # A port in use, mostly: seen by the exit code and this line.
+            # Usually a port in use: shown by the exit code and this line.
             self.runtime.log.exception('not started', extra={'step': 'start'})
             return EXIT_NOT_STARTED
         self.runtime.spawn(
             LoopWatch(self.runtime).watch(), step='watch the loop'
         )
         self._enter(Phase.SERVING, 'process')
-        await stop.asked.wait()
+        await stop.requested.wait()
         self._enter(Phase.DRAINING, stop.teller)
         return await self._drain(stop)
 
     async def _drain(self, stop: Stop) -> int:
-        """Let running requests end, unless hurried or out of time.
+        """Wait for running requests until forced to stop or timed out.
 
-        A role that never ends its drain would be seen as a host that can't be
-        replaced; `drain_s` bounds the wait, and a second signal ends it.
+        A host whose role never ends its drain could not be replaced; `drain_s`
+        bounds the wait, and a second signal ends it.
         """
         drain = asyncio.ensure_future(self.role.drain())
-        hurried = asyncio.ensure_future(stop.hurried.wait())
+        forced = asyncio.ensure_future(stop.forced.wait())
         await asyncio.wait(
-            (drain, hurried),
+            (drain, forced),
             timeout=self.runtime.cfg.limits.drain_s,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        hurried.cancel()
+        forced.cancel()
         if not drain.done():
             drain.cancel()
             self.runtime.log.warning('drain cut off', extra={'step': 'drain'})
@@ -173,21 +173,21 @@
         )
 
     async def _safely(self, step: str, closing: Awaitable[None]) -> None:
-        """Go on closing the rest when one part fails, or never ends.
+        """Run one shutdown step; a failure or timeout doesn't stop the others.
 
-        A part that never ends would be seen as a process that outlives its
-        drain, keeps its ports and lets no successor start.
+        If a step never ended, the process would outlive its drain and hold its
+        ports, so that its successor could not start.
         """
         part = asyncio.ensure_future(closing)
         await asyncio.wait((part,), timeout=CLOSE_S)
         if not part.done():
             self.stuck = True
-            self._tell_stuck(step)
+            self._log_running_tasks(step)
         elif not part.cancelled() and (exc := part.exception()) is not None:
             self.runtime.fault(step, exc)
 
-    def _tell_stuck(self, step: str) -> None:
-        """Log where each task that still runs stands."""
+    def _log_running_tasks(self, step: str) -> None:
+        """Log the stack of each task that still runs."""
         for task in asyncio.all_tasks():
             where = io.StringIO()
             task.print_stack(file=where)
@@ -203,7 +203,7 @@
         loop: asyncio.AbstractEventLoop,
         context: dict[str, Any],
     ) -> None:
-        """Take what no task caught, so that it is seen and kills nothing."""
+        """Log and count errors that no task caught; the process goes on."""
         self.runtime.log.error(context['message'], extra={'step': 'loop'})
         self.runtime.fault('loop', context.get('exception'))
 
@@ -217,7 +217,7 @@
     """Run a role until SIGTERM or SIGINT; return the exit code.
 
     0: drained; 1: not started; 3: running work was cut off. ``lines_per_s``
-    bounds the log, see `start_logs`.
+    limits the log rate, see `start_logs`.
     """
     return asyncio.run(_serve(cfg, build, lines_per_s))
 
@@ -233,11 +233,11 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.ask, number.name)
-    # Unhandled, it would end the process and cut off all that runs.
-    loop.add_signal_handler(signal.SIGHUP, runtime.ask_reload)
-    life = Lifecycle(runtime, build(runtime))
-    code = await life.run(stop)
-    if life.stuck:
-        # The loop's own end waits for every task, so for this one for ever.
+    # Unhandled, SIGHUP would end the process and all running work.
+    loop.add_signal_handler(signal.SIGHUP, runtime.request_reload)
+    lifecycle = Lifecycle(runtime, build(runtime))
+    code = await lifecycle.run(stop)
+    if lifecycle.stuck:
+        # Closing the loop waits for every task, so it would wait for ever.
         os._exit(code or EXIT_CUT_OFF)
     return code
--- a/packages/daemon/src/crowrudder_daemon/_loop_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/_loop_watch.py
@@ -1,4 +1,4 @@
-"""How late the event loop of a process wakes what is due."""
+"""Measures how late the event loop of a process wakes due tasks."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
     from crowrudder_daemon._runtime import Runtime
 
-LOOK_S = 0.1
-"""Between two looks, seconds. Of a loop that stands still up to so much isn't
-seen; a third of the 0.3 s for which the margins of the fleet allow. Looks twice
-as often cost 0.008 of a core, measured on a process at rest."""
+CHECK_INTERVAL_S = 0.1
+"""Check interval in seconds: a third of the 0.3 s for which the margins of
+the fleet allow. Up to this much of a stall goes undetected. Checks twice as
+often cost 0.008 of a core in an idle process."""
 
-LATE_S = 0.1
-"""Lateness in seconds from which on it is told: a third of the 0.3 s before a
-version's end at which a request is taken away."""
+WARN_LATENESS_S = 0.1
+"""Lateness in seconds from which it is logged: a third of the 0.3 s before a
+version's end at which a request is withdrawn."""
 
-TELL_S = 1.0
-"""Least time in seconds between two lines: a loop that is late all the time
-would fill a log that is bounded."""
+LOG_INTERVAL_S = 1.0
+"""Minimum time in seconds between two log lines: a loop that is always late
+would fill a rate-limited log."""
 
-LATE_SECONDS = (
+LATENESS_BUCKETS_S = (
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5,
 )  # fmt: skip
 
 
 @frozen(kw_only=True)
-class LateWord:
-    """The worst of the late wakings since the last line, and their number."""
+class LatenessReport:
+    """The worst late wake-up since the last log line, and their count."""
 
     late_s: float
     ago_s: float
@@ -44,47 +44,47 @@
 
 
 @define
-class Lateness:
-    """Decides which late wakings make a line.
+class LatenessReporter:
+    """Decides which late wake-ups are logged.
 
-    The first is told at once; of those that follow within `TELL_S` the worst.
+    The first is logged at once; of those that follow within `LOG_INTERVAL_S`,
+    the worst.
     """
 
-    _told_at: float = field(default=-math.inf, init=False)
+    _reported_at: float = field(default=-math.inf, init=False)
     _worst_s: float = field(default=0, init=False)
     _worst_at: float = field(default=0, init=False)
     _times: int = field(default=0, init=False)
 
-    def on_woken(self, late_s: float, now: float) -> LateWord | None:
-        """Take a waking; give what is to be told, if anything."""
-        if late_s >= LATE_S:
+    def on_woken(self, late_s: float, now: float) -> LatenessReport | None:
+        """Record a wake-up; return the report to log, if any."""
+        if late_s >= WARN_LATENESS_S:
             self._times += 1
             if late_s > self._worst_s:
                 self._worst_s, self._worst_at = late_s, now
-        if not self._times or now - self._told_at < TELL_S:
+        if not self._times or now - self._reported_at < LOG_INTERVAL_S:
             return None
-        word = LateWord(
+        report = LatenessReport(
             late_s=self._worst_s,
             ago_s=now - self._worst_at,
             times=self._times,
         )
-        self._told_at = now
+        self._reported_at = now
         self._worst_s, self._times = 0, 0
-        return word
+        return report
 
 
 class LoopWatch:
     """Measures how late its own sleep ends.
 
-    What can't be told without it: a request is taken away too late, and
-    nothing shows whether the process stood still or believed another time.
-    The clock goes on while a process is stopped or its host suspended, so
-    that these are seen as well.
+    Without it, when a request is withdrawn too late, nothing shows whether the
+    process was stalled or had a wrong time. The clock runs on while a process
+    is stopped or its host suspended, so that these are detected as well.
 
     Parameters
     ----------
     clock, sleep, wait_s
-        Replaced by tests.
+        Replaced in tests.
     """
 
     def __init__(
@@ -99,34 +99,34 @@
         self._clock = clock
         self._sleep = sleep
         self._wait_s = wait_s
-        self._lateness = Lateness()
+        self._lateness = LatenessReporter()
         self._late = runtime.metrics.histogram(
             'loop_late_seconds',
             'How late the event loop woke a task that was due.',
-            bounds=LATE_SECONDS,
+            bounds=LATENESS_BUCKETS_S,
         )
 
     async def watch(self) -> None:
-        """Look for as long as the process runs."""
+        """Check for as long as the process runs."""
         while True:
-            await self.look()
+            await self.check_once()
 
-    async def look(self) -> None:
-        """Sleep once and take how late the sleep ended."""
-        wait_s = self._wait_s(LOOK_S)
+    async def check_once(self) -> None:
+        """Sleep once and record how late the sleep ended."""
+        wait_s = self._wait_s(CHECK_INTERVAL_S)
         due_at = self._clock() + wait_s
         await self._sleep(wait_s)
         now = self._clock()
         late_s = max(now - due_at, 0)
         self._late.record(late_s)
-        word = self._lateness.on_woken(late_s, now)
-        if word is not None:
+        report = self._lateness.on_woken(late_s, now)
+        if report is not None:
             self._log.warning(
                 'loop woke late',
                 extra={
                     'step': 'loop',
-                    'late_s': round(word.late_s, 3),
-                    'ago_s': round(word.ago_s, 3),
-                    'times': word.times,
+                    'late_s': round(report.late_s, 3),
+                    'ago_s': round(report.ago_s, 3),
+                    'times': report.times,
                 },
             )
--- a/packages/daemon/src/crowrudder_daemon/_runtime.py
+++ b/packages/daemon/src/crowrudder_daemon/_runtime.py
@@ -1,4 +1,4 @@
-"""What every role of a process is handed, and what it has to offer."""
+"""The environment of a role, and the interface that a role implements."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def new_incarnation() -> str:
-    """Draw the name of one life of a process: 64 random bits in hex."""
+    """Return a random incarnation id of a process: 64 bits in hex."""
     return secrets.token_hex(INCARNATION_BYTES)
 
 
 @frozen
 class Audit:
-    """The trail of this process, stamped with its wall clock."""
+    """The audit trail of this process, with wall-clock timestamps."""
 
     trail: AuditTrail = field(factory=AuditTrail)
     _clock: Callable[[], float] = time.time
@@ -40,7 +40,7 @@
         before: str,
         after: str,
     ) -> AuditEvent:
-        """Record a change now."""
+        """Record a change at the current time."""
         return self.trail.record(
             at=self._clock(),
             kind=kind,
@@ -53,10 +53,10 @@
 
 @define
 class Runtime:
-    """The surroundings of a role.
+    """The environment of a role.
 
-    `incarnation` tells this life of the process from earlier ones under the
-    same host name; nothing of it is kept. `reload_asked` is set when the
+    `incarnation` distinguishes this run of the process from earlier ones under
+    the same host name; it isn't stored. `reload_asked` is set when the
     settings may have changed.
     """
 
@@ -74,28 +74,28 @@
         *,
         step: str,
     ) -> asyncio.Task[Any]:
-        """Run a job whose fault is logged and counted.
+        """Run a job; its unhandled exceptions are logged and counted.
 
-        The loop keeps only weak references to tasks: one that nobody holds may
-        vanish while it waits, seen as work that stops without a line of log.
+        The loop keeps only weak references to tasks: without another reference
+        a waiting task may be collected, and its work stops without a log line.
         """
         task = asyncio.get_running_loop().create_task(job, name=step)
         self._jobs.add(task)
         task.add_done_callback(self._on_done)
         return task
 
-    def ask_reload(self) -> None:
-        """Note that the settings may have changed."""
+    def request_reload(self) -> None:
+        """Request a reload of the settings, which may have changed."""
         self.log.info('told to read the settings', extra={'step': 'reload'})
         self.reload_asked.set()
 
     def fault(self, step: str, exc: BaseException | None) -> None:
-        """Log and count a fault that no handler expected."""
+        """Log and count an unhandled fault."""
         self.metrics.unhandled_faults.add(step=step)
         self.log.error('unhandled fault', exc_info=exc, extra={'step': step})
 
     async def cancel_jobs(self) -> None:
-        """End every job that still runs."""
+        """Cancel all running jobs."""
         jobs = list(self._jobs)
         for job in jobs:
             job.cancel()
@@ -108,34 +108,34 @@
 
 
 class Role(Protocol):
-    """An entry or an agent, as the process that runs it sees it."""
+    """The interface of an entry or agent towards its process."""
 
     async def start(self) -> None:
         """Open sockets and start tasks."""
 
     async def drain(self) -> None:
-        """Take no new work, tell peers, and wait for what runs."""
+        """Accept no new work, notify peers and wait for running work."""
 
     async def stop(self) -> None:
-        """Close sockets and end tasks; running work is cut off."""
+        """Close sockets and cancel tasks; running work is cut off."""
 
     def status(self) -> dict[str, Any]:
-        """Describe the state for ``/status``, in values that JSON carries."""
+        """Return the state for ``/status`` as JSON-compatible values."""
 
     def readiness(self) -> list[str]:
-        """List the reasons why it can't serve; empty when it can."""
+        """Return the reasons why it can't serve; empty if it can."""
 
     def members(self) -> tuple[Member, ...]:
-        """List the members that this process knows."""
+        """Return the members that this process knows."""
 
     def bundle(self) -> bytes:
-        """Give the bytes of the bundle in force; empty where none is."""
+        """Return the bytes of the bundle in force; empty if there is none."""
 
     def explain(self, customer: str, model: str) -> dict[str, Any]:
-        """Say where a request would go, and why; entries only.
+        """Return where a request would go, and why; entries only.
 
         Raises
         ------
         NotImplementedError
-            In a role that doesn't route.
+            In a role that doesn't route requests.
         """
--- a/packages/daemon/src/crowrudder_daemon/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/_task.py
@@ -1,4 +1,4 @@
-"""Active objects: one queue, one loop, handlers named after messages."""
+"""Active objects: a queue, a loop, and handlers named after messages."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Task:
-    """An object that alone touches its state, from its own loop.
+    """An active object: its state is changed only by its own loop.
 
     A message of class ``BundleRead`` goes to ``on_bundle_read``, which may
     be a coroutine function.
@@ -34,7 +34,7 @@
         self.spawn(self._loop())
 
     def spawn(self, job: Any) -> asyncio.Task[Any]:
-        """Run a coroutine that ends with this object at the latest."""
+        """Run a coroutine that is cancelled when this object stops."""
         task = asyncio.ensure_future(job)
         self._jobs.add(task)
         task.add_done_callback(self._jobs.discard)
@@ -53,34 +53,34 @@
             await self._handle(message)
 
     def handle_now(self, message: object) -> None:
-        """Run a handler that is no coroutine, past the queue.
+        """Run a handler that isn't a coroutine function, bypassing the queue.
 
-        For what comes from the object's own socket, in its own loop: the
-        queue costs two more turns of the loop for each datagram.
+        For messages from the object's own socket in its own loop: the queue
+        costs two more loop iterations for each datagram.
         """
         try:
             getattr(self, f'on_{self._step_of(type(message))}')(message)
         except Exception:
-            self._tell_fault(message)
+            self._log_fault(message)
 
     async def _handle(self, message: object) -> None:
-        """Run the handler; a fault in one message must not end the loop.
+        """Run the handler; an exception in it must not end the loop.
 
-        It would be seen as a process that is healthy but answers nothing.
+        Otherwise the process would seem healthy but answer nothing.
         """
         try:
             reply = getattr(self, f'on_{self._step_of(type(message))}')(message)
             if asyncio.iscoroutine(reply):
                 await reply
         except Exception:
-            self._tell_fault(message)
+            self._log_fault(message)
 
-    def _tell_fault(self, message: object) -> None:
+    def _log_fault(self, message: object) -> None:
         step = self._step_of(type(message))
         self._log.exception('handler failed', extra={'step': step})
 
     def _step_of(self, kind: type) -> str:
-        """Give what the handler of a kind of message is named after."""
+        """Return the snake_case name of a message class, as in its handler."""
         if kind not in self._steps:
             self._steps[kind] = _CAPITAL.sub('_', kind.__name__).lower()
         return self._steps[kind]
--- a/packages/daemon/src/crowrudder_daemon/_ticks.py
+++ b/packages/daemon/src/crowrudder_daemon/_ticks.py
@@ -1,7 +1,7 @@
-"""Periodic looks that wake a process together.
+"""Aligned timers, so that periodic checks wake a process together.
 
-A process that is woken for each look by itself spends most of its time at rest
-on being woken.
+Separate wake-ups for each check would take most of the CPU time of an idle
+process.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 import math
 
 TICK_S = 0.1
-"""Time between two ticks, seconds; periods are whole multiples of it."""
+"""Time between two ticks in seconds; periods are whole multiples of it."""
 
-_LEAST_S = TICK_S / 100
+_MIN_S = TICK_S / 100
 
 
 def until_tick_s(period_s: float) -> float:
-    """Give the time to the next tick of a period, seconds.
+    """Return the time to the next tick of a period in seconds.
 
-    Ticks of all periods fall together, on the clock of the event loop. No longer
-    than the period and a hundredth of a tick.
+    Ticks of all periods are aligned on the clock of the event loop. At most the
+    period plus a hundredth of a tick.
 
     Parameters
     ----------
     period_s
-        Time between two looks; rounded down to whole ticks, at least one.
+        Time between two checks; rounded down to whole ticks, at least one.
 
     Example
     -------
@@ -35,9 +35,9 @@
     True
     """
     now = asyncio.get_running_loop().time()
-    period_s = max(math.floor(period_s / TICK_S + _LEAST_S), 1) * TICK_S
+    period_s = max(math.floor(period_s / TICK_S + _MIN_S), 1) * TICK_S
     left_s = period_s - now % period_s
-    return left_s if left_s > _LEAST_S else left_s + period_s
+    return left_s if left_s > _MIN_S else left_s + period_s
 
 
 async def sleep_to_tick(period_s: float) -> None:
--- a/packages/daemon/src/crowrudder_daemon/admin.py
+++ b/packages/daemon/src/crowrudder_daemon/admin.py
@@ -1,4 +1,4 @@
-"""The admin addresses: health, readiness, metrics, status, audit, explain."""
+"""The admin endpoints: health, readiness, metrics, status, audit, explain."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 JSON_TYPE = 'application/json; charset=utf-8'
 METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
-# Nothing here takes a body.
-MOST_BODY_BYTES = 4096
-# Python itself refuses to read a number of more than 4300 digits.
+# No admin endpoint reads a body.
+MAX_BODY_BYTES = 4096
+# Python refuses to parse a number of more than 4300 digits.
 _NUMBER = re.compile('[0-9]{1,18}')
 
 
 @frozen(kw_only=True)
 class AdminView:
-    """What the addresses show; each answer is read at the time of asking.
+    """Data sources of the endpoints; each is read for each request.
 
     `explain` raises `NotImplementedError` in a role that doesn't route.
-    `on_fault` is told of a fault in any of the callables; the process goes on.
+    `on_fault` is called with exceptions of the callables; the process goes on.
     """
 
     status: Callable[[], dict[str, Any]]
@@ -49,7 +49,7 @@
 
 
 class UnknownNameError(CrowrudderError):
-    """A customer or model was asked for that no file declares."""
+    """The requested customer or model is not declared in any file."""
 
 
 class _AdminHandler(RequestHandler):
@@ -81,14 +81,14 @@
 
 
 class HealthHandler(_AdminHandler):
-    """Answers while the loop runs; says nothing of the work."""
+    """Responds while the event loop runs, whatever the state of the role."""
 
     def get(self) -> None:
         self.reply({'status': 'ok'})
 
 
 class ReadyHandler(_AdminHandler):
-    """Says whether the process can serve, and if not, why."""
+    """Reports whether the process can serve, and if not, why."""
 
     def get(self) -> None:
         reasons = self.view.readiness()
@@ -97,7 +97,7 @@
 
 
 class MetricsHandler(_AdminHandler):
-    """Writes Prometheus' text form."""
+    """Returns the metrics in the Prometheus text format."""
 
     def get(self) -> None:
         self.set_header('Content-Type', METRICS_TYPE)
@@ -105,7 +105,7 @@
 
 
 class StatusHandler(_AdminHandler):
-    """Shows the state of the process and its role."""
+    """Returns the state of the process and its role."""
 
     def get(self) -> None:
         self.reply(self.view.status())
@@ -119,7 +119,7 @@
 
 
 class BundleHandler(_AdminHandler):
-    """Gives the bundle in force, byte for byte as it was published."""
+    """Returns the bundle in force, byte for byte as published."""
 
     def get(self) -> None:
         payload = self.view.bundle()
@@ -130,7 +130,7 @@
 
 
 class AuditHandler(_AdminHandler):
-    """Lists the changes after a number that the reader has seen."""
+    """Lists the audit events after a given sequence number."""
 
     def get(self) -> None:
         trail = self.view.audit
@@ -147,7 +147,7 @@
 
 
 class ExplainHandler(_AdminHandler):
-    """Says where a customer's request for a model would go, and why."""
+    """Explains where a customer's request for a model would go."""
 
     def get(self) -> None:
         customer, model = self._needed('customer'), self._needed('model')
@@ -174,7 +174,7 @@
 
 
 def admin_application(view: AdminView) -> Application:
-    """Make the application of the admin port."""
+    """Build the application of the admin port."""
     handlers: tuple[tuple[str, type[_AdminHandler]], ...] = (
         ('/healthz', HealthHandler),
         ('/readyz', ReadyHandler),
@@ -200,7 +200,7 @@
     _server: HTTPServer | None = field(default=None, init=False)
 
     def listen(self, address: str, port: int) -> int:
-        """Open the port; 0 takes a free one.
+        """Open the port; 0 selects a free one.
 
         Returns
         -------
@@ -210,7 +210,7 @@
         sockets = bind_sockets(port, address)
         self._server = HTTPServer(
             admin_application(self.view),
-            max_body_size=MOST_BODY_BYTES,
+            max_body_size=MAX_BODY_BYTES,
         )
         self._server.add_sockets(sockets)
         return int(sockets[0].getsockname()[1])
--- a/packages/daemon/src/crowrudder_daemon/cli.py
+++ b/packages/daemon/src/crowrudder_daemon/cli.py
@@ -61,13 +61,13 @@
 def _settings_for(role: str, file: str) -> Settings:
     cfg = read_settings(file)
     if role and cfg.process.role != role:
-        # An agent's file started as an entry would serve the wrong port.
+        # An agent's file used for an entry would open the wrong ports.
         fault = Fault(file, 'process', 'role', cfg.process.role, role)
         raise SettingsError((fault,))
     return cfg
 
 
 def _run(role: str, cfg: Settings) -> int:
-    # Only the modules of this role are loaded: memory counts on every host.
+    # Load only the modules of this role, to save memory on every host.
     module, builder = BUILDERS[role]
     return run_role(cfg, getattr(import_module(module), builder))
--- a/packages/daemon/src/crowrudder_daemon/http/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards systems that crowrudder does not own."""
+"""HTTP client for systems outside the fleet."""
 
 from crowrudder_daemon.http._connection import (
     BrokenAnswerError,
--- a/packages/daemon/src/crowrudder_daemon/http/_body_relay.py
+++ b/packages/daemon/src/crowrudder_daemon/http/_body_relay.py
@@ -1,4 +1,4 @@
-"""Pass the body of an answer on from the callback that received it."""
+"""Forward a response body from the callback that received it."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
     from collections.abc import Callable
 
 
-class HoldReading(Protocol):
-    """Stops the reading of a connection, or goes on with it."""
+class SetReadingPaused(Protocol):
+    """Pauses or resumes reading from a connection."""
 
-    def __call__(self, *, is_held: bool) -> None:
-        """Stop or go on."""
+    def __call__(self, *, is_paused: bool) -> None:
+        """Pause or resume."""
 
 
 class BodyRelay:
-    """Hands each part of a body to a taker until its proper end.
+    """Forwards each part of a body to a consumer until its orderly end.
 
-    A task that waits for each part would cost two turns of the loop and a
-    timer for each event of a stream.
+    A task that waits for each part would cost two iterations of the event
+    loop and a timer for each event of a stream.
 
     Parameters
     ----------
-    take
-        Takes a part. The next one is held back until a future that it gives
-        is done, so that a slow reader slows its sender.
+    consume
+        Consumes a part. If it returns a future, the next part is held back
+        until that is done, so that a slow reader applies back-pressure.
     next_part
-        Gives the next part; empty while none is at hand, None at the end.
-    hold
-        Told whether the connection stops reading.
+        Returns the next part; empty while none is buffered, None at the end.
+    set_paused
+        Pauses or resumes reading from the connection.
     pause_s
-        Longest time without a part, seconds.
+        Longest time without a part in seconds.
     """
 
     def __init__(
         self,
-        take: Callable[[bytes], asyncio.Future[None] | None],
+        consume: Callable[[bytes], asyncio.Future[None] | None],
         next_part: Callable[[], bytes | None],
-        hold: HoldReading,
+        set_paused: SetReadingPaused,
         *,
         pause_s: float,
     ) -> None:
-        self._take = take
+        self._consume = consume
         self._next_part = next_part
-        self._hold = hold
+        self._set_reading_paused = set_paused
         self._pause_s = pause_s
         self._loop = asyncio.get_running_loop()
-        self._moved_at = self._loop.time()
+        self._last_progress_at = self._loop.time()
         self._done: asyncio.Future[None] = self._loop.create_future()
-        self._is_held = False
-        self._timer = self._loop.call_later(pause_s, self._look)
+        self._is_paused = False
+        self._timer = self._loop.call_later(pause_s, self._check_idle)
 
     async def run(self) -> None:
         """Wait for the end of the body.
@@ -59,7 +59,7 @@
         Raises
         ------
         TimeoutError
-            When no part came for too long.
+            When no part arrived for ``pause_s``.
         """
         try:
             self.on_bytes()
@@ -68,46 +68,46 @@
             self._timer.cancel()
 
     def on_bytes(self) -> None:
-        """Hand on what is at hand: bytes came, or the connection ended."""
-        if self._is_held or self._done.done():
+        """Forward buffered parts; bytes arrived or the connection ended."""
+        if self._is_paused or self._done.done():
             return
         try:
             self._pump()
         except Exception as exc:
-            # `run` raises it, in the task that waits for the body.
+            # `run` raises it in the task that waits for the body.
             self._done.set_exception(exc)
 
     def _pump(self) -> None:
         while part := self._next_part():
-            self._moved_at = self._loop.time()
-            taken = self._take(part)
-            if taken is not None and not taken.done():
-                self._set_held(is_held=True)
-                taken.add_done_callback(self._on_taken)
+            self._last_progress_at = self._loop.time()
+            consumed = self._consume(part)
+            if consumed is not None and not consumed.done():
+                self._set_paused(is_paused=True)
+                consumed.add_done_callback(self._on_consumed)
                 return
         if part is None:
             self._done.set_result(None)
 
-    def _on_taken(self, _taken: asyncio.Future[None]) -> None:
+    def _on_consumed(self, _consumed: asyncio.Future[None]) -> None:
         if self._done.done():
             return
-        self._moved_at = self._loop.time()
-        self._set_held(is_held=False)
+        self._last_progress_at = self._loop.time()
+        self._set_paused(is_paused=False)
         self.on_bytes()
 
-    def _set_held(self, *, is_held: bool) -> None:
-        self._is_held = is_held
-        self._hold(is_held=is_held)
+    def _set_paused(self, *, is_paused: bool) -> None:
+        self._is_paused = is_paused
+        self._set_reading_paused(is_paused=is_paused)
 
-    def _look(self) -> None:
-        """Give up after a pause; otherwise look again when one may be over.
+    def _check_idle(self) -> None:
+        """Time out after a stall; otherwise schedule the next check.
 
-        While the taker holds the body back no pause is its sender's.
+        While the consumer holds the body back, the sender is not at fault.
         """
-        left_s = self._moved_at + self._pause_s - self._loop.time()
-        if self._is_held:
+        left_s = self._last_progress_at + self._pause_s - self._loop.time()
+        if self._is_paused:
             left_s = self._pause_s
         if left_s > 0:
-            self._timer = self._loop.call_later(left_s, self._look)
+            self._timer = self._loop.call_later(left_s, self._check_idle)
         elif not self._done.done():
             self._done.set_exception(TimeoutError())
--- a/packages/daemon/src/crowrudder_daemon/http/_connection.py
+++ b/packages/daemon/src/crowrudder_daemon/http/_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection to an outside system, kept over many requests.
+"""A persistent HTTP/1.1 connection to an external system.
 
-The HTTP client of tornado opens a connection for each request, while outside
-systems count and limit them; the parser is h11's.
+Tornado's HTTP client opens a connection for each request, but external systems
+count and limit connections. The protocol is parsed by h11.
 """
 
 from __future__ import annotations
@@ -23,33 +23,36 @@
     from collections.abc import Callable, Iterable
 
 READ_AHEAD_BYTES = 65_536
-"""Bytes of an answer held unread; a slow caller then slows its upstream."""
+"""Response bytes buffered before reading pauses, so that a slow caller slows
+its upstream."""
 
-MOST_HEAD_BYTES = 65_536
-SILENT_MS = 4000
-"""After so long without an acknowledgement the system gives the connection
-up. Partitions send no reset; it is a second line behind the time-outs."""
+MAX_HEAD_BYTES = 65_536
+TCP_USER_TIMEOUT_MS = 4000
+"""The kernel closes the connection after this time without an acknowledgement.
+
+A network partition sends no reset; this backs up the timeouts of requests.
+"""
 
 _INT_BYTES = 4
-"""Length of the number that the system gives as the length of a queue."""
+"""Size of the integer in which the kernel reports the length of a queue."""
 
 
 class NotConnectedError(UpstreamError):
-    """No connection could be opened: nothing of the request was sent."""
+    """No connection was available: no part of the request was sent."""
 
     @property
     def is_refused(self) -> bool:
-        """Whether nobody listens there, by the answer of the other side."""
+        """Return whether the peer refused the connection: nothing listens."""
         return isinstance(self.__cause__, ConnectionRefusedError)
 
 
 class BrokenAnswerError(UpstreamError):
-    """The answer broke off, or was none; the request may have run."""
+    """The response was truncated or invalid; the request may have run."""
 
 
 @frozen(kw_only=True)
 class WireRequest:
-    """A request as it goes out; ``target`` is the path with its query."""
+    """A request to send; ``target`` is the path with its query."""
 
     method: str
     target: str
@@ -59,13 +62,13 @@
 
 @frozen(kw_only=True)
 class WireHead:
-    """Status and headers of an answer; the names in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
     def header(self, name: str) -> str:
-        """Give a header's text by its lower-case name; empty for none."""
+        """Return a header's value by its lower-case name; empty if absent."""
         for key, text in self.headers:
             if key == name:
                 return text
@@ -74,16 +77,16 @@
 
 @frozen(kw_only=True)
 class WireAnswer:
-    """A whole answer."""
+    """A complete response."""
 
     head: WireHead
     body: bytes
 
 
 class HttpConnection(asyncio.Protocol):
-    """A client's side of one connection.
+    """The client side of one connection.
 
-    One request at a time: `send`, `head`, then `part` until it gives None.
+    One request at a time: `send`, `head`, then `part` until it returns None.
 
     Parameters
     ----------
@@ -97,80 +100,83 @@
         self.requests = 0
         self._wire = h11.Connection(
             h11.CLIENT,
-            max_incomplete_event_size=MOST_HEAD_BYTES,
+            max_incomplete_event_size=MAX_HEAD_BYTES,
         )
         self._transport: asyncio.Transport | None = None
         self._waiter: asyncio.Future[None] | None = None
-        self._ahead = 0
+        self._unread_bytes = 0
         self._is_busy = False
-        self._lost = ''
+        self._close_reason = ''
         self._was_ended_by_peer = False
         self._request: WireRequest | None = None
         self._relay: BodyRelay | None = None
 
-    # The event loop's side.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport and set the options of its socket."""
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info('socket')
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
             )
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; while nothing was asked they belong to no request."""
+        """Parse received bytes; close the connection if no request is open."""
         if not self._is_busy:
-            self._lost = 'bytes that no request asked for'
+            self._close_reason = 'bytes that no request asked for'
             self.close()
             return
         self._wire.receive_data(data)
-        self._ahead += len(data)
-        if self._ahead > READ_AHEAD_BYTES and self._transport is not None:
+        self._unread_bytes += len(data)
+        if (
+            self._unread_bytes > READ_AHEAD_BYTES
+            and self._transport is not None
+        ):
             self._transport.pause_reading()
         self._wake()
 
     def eof_received(self) -> None:
-        """Take the orderly end of the other side's bytes."""
-        self._was_ended_by_peer |= not self._lost
-        self._lost = self._lost or 'closed by the other side'
+        """Record that the peer closed its side in an orderly way."""
+        self._was_ended_by_peer |= not self._close_reason
+        self._close_reason = self._close_reason or 'closed by the other side'
         if self._is_busy:
             self._wire.receive_data(b'')
         self._wake()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take note that the connection is gone."""
-        self._was_ended_by_peer |= not self._lost
-        if exc is not None or not self._lost:
-            self._lost = f'connection lost: {exc or "closed"}'
+        """Record that the connection is closed."""
+        self._was_ended_by_peer |= not self._close_reason
+        if exc is not None or not self._close_reason:
+            self._close_reason = f'connection lost: {exc or "closed"}'
         self._wake()
 
-    # The user's side.
+    # Methods for users of the connection.
 
     @property
     def is_open(self) -> bool:
-        """Whether a request may be sent: nothing lost, nothing left over."""
-        return not self._lost and not self._is_busy
+        """Return whether a request may be sent: open, and none in progress."""
+        return not self._close_reason and not self._is_busy
 
     @property
     def was_ended_by_peer(self) -> bool:
-        """Whether the other side has closed or reset it."""
+        """Return whether the peer has closed or reset the connection."""
         return self._was_ended_by_peer
 
     @property
     def is_sent(self) -> bool:
-        """Whether all bytes of the request have left this process."""
+        """Return whether all bytes of the request have left this process."""
         transport = self._transport
         return transport is not None and not transport.get_write_buffer_size()
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the other side hasn't acknowledged; -1 if unknown.
+        """Return the number of unacknowledged bytes; -1 if unknown.
 
-        They wait here, or are on their way; over a full link that takes long,
-        and the closing of a connection waits behind them.
+        They are buffered here or in transit. Over a saturated link that takes
+        long, and the close of the connection is queued behind them.
         """
         if self._transport is None:
             return -1
@@ -178,16 +184,16 @@
         try:
             answer = fcntl.ioctl(sock, termios.TIOCOUTQ, bytes(_INT_BYTES))
         except (OSError, ValueError):
-            # Closed meanwhile.
+            # The socket has been closed meanwhile.
             return -1
         queued = int.from_bytes(answer, sys.byteorder)
         return queued + self._transport.get_write_buffer_size()
 
     def send(self, request: WireRequest) -> None:
-        """Send a request as a whole."""
+        """Send a complete request."""
         if self._transport is None or not self.is_open:
             raise NotConnectedError(
-                self._lost or 'busy', step='send', peer=self.peer
+                self._close_reason or 'busy', step='send', peer=self.peer
             )
         self._is_busy = True
         self.requests += 1
@@ -195,12 +201,12 @@
         self._transport.write(_encode(self._wire, request))
 
     async def head(self) -> WireHead:
-        """Wait for the answer's status and headers.
+        """Wait for the status and headers of the response.
 
         Raises
         ------
         BrokenAnswerError
-            When the connection ended, or what came is no answer.
+            When the connection ended or the response is invalid.
         """
         while True:
             match await self._event():
@@ -215,35 +221,38 @@
                 case h11.InformationalResponse():
                     continue
                 case _:
-                    raise self._broken('ended without an answer')
+                    raise self._answer_error('ended without an answer')
 
     async def part(self) -> bytes | None:
-        """Wait for more of the body; None at its proper end.
+        """Wait for the next part of the body; None at its orderly end.
 
         Raises
         ------
         BrokenAnswerError
-            When it ends before.
+            When the body is truncated.
         """
         return self._body_part(await self._event())
 
     async def relay(
         self,
-        take: Callable[[bytes], asyncio.Future[None] | None],
+        consume: Callable[[bytes], asyncio.Future[None] | None],
         *,
         pause_s: float,
     ) -> None:
-        """Hand on the rest of the body as it comes, see `BodyRelay`.
+        """Forward the rest of the body as it arrives, see `BodyRelay`.
 
         Raises
         ------
         BrokenAnswerError
-            When it ends before its proper end.
+            When the body is truncated.
         TimeoutError
-            When no part came for ``pause_s``.
+            When no part arrived for ``pause_s``.
         """
         self._relay = BodyRelay(
-            take, self._part_at_hand, self._hold, pause_s=pause_s
+            consume,
+            self._buffered_part,
+            self._set_reading_paused,
+            pause_s=pause_s,
         )
         try:
             await self._relay.run()
@@ -251,14 +260,14 @@
             self._relay = None
 
     async def closed(self) -> None:
-        """Wait until the connection is gone."""
-        while not self._lost:
-            await self._more()
+        """Wait until the connection is closed."""
+        while not self._close_reason:
+            await self._wait_for_bytes()
 
     async def drain(self) -> None:
-        """Read over the rest of an answer that nobody needs."""
+        """Read and discard the rest of a response."""
         while await self.part() is not None:
-            self._ahead = 0
+            self._unread_bytes = 0
 
     async def answer(
         self,
@@ -266,12 +275,12 @@
         most_bytes: int,
         on_bytes: Callable[[int], None] | None = None,
     ) -> WireAnswer:
-        """Wait for a whole answer.
+        """Wait for a complete response.
 
         Raises
         ------
         BrokenAnswerError
-            When it isn't whole, or longer than ``most_bytes``.
+            When it is incomplete or longer than ``most_bytes``.
         """
         head = await self.head()
         parts: list[bytes] = []
@@ -282,26 +291,26 @@
             if on_bytes is not None:
                 on_bytes(len(part))
             if size > most_bytes:
-                raise self._broken(f'longer than {most_bytes} bytes')
+                raise self._answer_error(f'longer than {most_bytes} bytes')
         return WireAnswer(head=head, body=b''.join(parts))
 
     def skip(self) -> None:
-        """After a whole answer to another request, wait for one's own.
+        """Prepare for the own response after one to another request.
 
-        An upstream may answer a request twice. The second answer arrives
-        where the next one is due, and would be given to its caller.
+        An upstream may answer a request twice. The second response arrives
+        in place of the next one, and would be sent to the wrong caller.
 
         Raises
         ------
         BrokenAnswerError
-            When the connection has ended.
+            When the connection is closed.
         """
         left, is_closed = self._wire.trailing_data
-        if self._lost or self._request is None:
-            raise self._broken(self._lost or 'no request')
+        if self._close_reason or self._request is None:
+            raise self._answer_error(self._close_reason or 'no request')
         self._wire = h11.Connection(
             h11.CLIENT,
-            max_incomplete_event_size=MOST_HEAD_BYTES,
+            max_incomplete_event_size=MAX_HEAD_BYTES,
         )
         _encode(self._wire, self._request)
         if left:
@@ -310,25 +319,25 @@
             self._wire.receive_data(b'')
 
     def finish(self) -> bool:
-        """After a whole answer, tell whether the connection may be kept.
+        """Return whether the connection may be reused after a response.
 
-        Not with bytes left over, and not when the upstream answered before it
-        had read the request: it would take the next one for the rest.
+        It may not with surplus bytes, nor when the upstream answered before it
+        had read the request: it would read the next one as the rest of this.
         """
         left, _ = self._wire.trailing_data
         states = (self._wire.our_state, self._wire.their_state)
         is_done = states == (h11.DONE, h11.DONE)
-        if self._lost or left or not is_done or not self.is_sent:
+        if self._close_reason or left or not is_done or not self.is_sent:
             self.close()
             return False
         self._wire.start_next_cycle()
         self._is_busy = False
-        self._ahead = 0
+        self._unread_bytes = 0
         return True
 
     def close(self) -> None:
-        """Drop the connection at once; the upstream sees it close."""
-        self._lost = self._lost or 'closed here'
+        """Abort the connection at once; the upstream sees it close."""
+        self._close_reason = self._close_reason or 'closed here'
         if self._transport is not None:
             self._transport.abort()
 
@@ -339,43 +348,43 @@
             case h11.EndOfMessage():
                 return None
             case _:
-                raise self._broken('broke off within the body')
+                raise self._answer_error('broke off within the body')
 
-    def _part_at_hand(self) -> bytes | None:
-        """Give a part of the body; empty while none has come."""
-        self._ahead = 0
-        event = self._event_at_hand()
+    def _buffered_part(self) -> bytes | None:
+        """Return a buffered part of the body; empty while there is none."""
+        self._unread_bytes = 0
+        event = self._buffered_event()
         if event is not h11.NEED_DATA:
             return self._body_part(event)
         # Too many bytes at once have stopped the reading, see `data_received`.
-        self._hold(is_held=False)
+        self._set_reading_paused(is_paused=False)
         return b''
 
-    def _hold(self, *, is_held: bool) -> None:
+    def _set_reading_paused(self, *, is_paused: bool) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        if is_held:
+        if is_paused:
             self._transport.pause_reading()
         else:
             self._transport.resume_reading()
 
     async def _event(self) -> object:
-        while (event := self._event_at_hand()) is h11.NEED_DATA:
-            await self._more()
+        while (event := self._buffered_event()) is h11.NEED_DATA:
+            await self._wait_for_bytes()
         return event
 
-    def _event_at_hand(self) -> object:
-        """Give the next event, `NEED_DATA` while more may come."""
+    def _buffered_event(self) -> object:
+        """Return the next event; `NEED_DATA` while more bytes may arrive."""
         try:
             event = self._wire.next_event()
         except h11.RemoteProtocolError as exc:
-            raise self._broken(self._lost or str(exc)) from exc
-        if event is h11.NEED_DATA and self._lost:
-            raise self._broken(self._lost)
+            raise self._answer_error(self._close_reason or str(exc)) from exc
+        if event is h11.NEED_DATA and self._close_reason:
+            raise self._answer_error(self._close_reason)
         return event
 
-    async def _more(self) -> None:
-        self._ahead = 0
+    async def _wait_for_bytes(self) -> None:
+        self._unread_bytes = 0
         if self._transport is not None and not self._transport.is_reading():
             self._transport.resume_reading()
         self._waiter = asyncio.get_running_loop().create_future()
@@ -390,7 +399,7 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _broken(self, reason: str) -> BrokenAnswerError:
+    def _answer_error(self, reason: str) -> BrokenAnswerError:
         return BrokenAnswerError(reason, step='answer', peer=self.peer)
 
 
--- a/packages/daemon/src/crowrudder_daemon/http/_pool.py
+++ b/packages/daemon/src/crowrudder_daemon/http/_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to outside systems, and whole calls over them."""
+"""Pool of persistent connections to external systems, and calls over them."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-KEPT_S = 8.0
-"""How long an idle connection is kept that announced no time of its own."""
+DEFAULT_KEEP_ALIVE_S = 8.0
+"""Time to keep idle connections whose peer announced no keep-alive timeout."""
 
-KEEP_MARGIN_S = 0.5
-"""A connection isn't used within so long of the announced end: a request
-that crosses the close may have run, and nobody could tell."""
+KEEP_ALIVE_MARGIN_S = 0.5
+"""A connection isn't used within this time of its announced end: whether a
+request that crosses the close has run can't be known."""
 
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
 
 class ConnectionPool:
-    """Connections by address, the last used one first.
+    """Idle connections by address; the most recently used is reused first.
 
     Parameters
     ----------
     on_open
-        Told of each connection that is opened.
+        Called for each connection that is opened.
     """
 
     def __init__(self, on_open: Callable[[], None] | None = None) -> None:
@@ -48,26 +48,26 @@
         timeout_s: float,
         fresh: bool = False,
     ) -> HttpConnection:
-        """Give a kept connection, or open one.
+        """Return an idle connection, or open one.
 
         Raises
         ------
         NotConnectedError
             When none could be opened in time.
         """
-        kept = None if fresh else self._kept(address)
+        kept = None if fresh else self._take_idle(address)
         return kept or await self._open(address, timeout_s)
 
-    def give_back(self, conn: HttpConnection, *, kept_s: float | None) -> None:
-        """Keep a connection after a whole answer, if it may be.
+    def release(self, conn: HttpConnection, *, kept_s: float | None) -> None:
+        """Return a connection to the pool after a response, if it is reusable.
 
-        ``kept_s`` is how long the other side says that it keeps it; 0 where
-        it closes, None where it says nothing.
+        ``kept_s`` is the keep-alive timeout that the peer announced; 0 if it
+        closes the connection, None if it announced none.
         """
         if kept_s is None:
-            kept_s = KEPT_S
+            kept_s = DEFAULT_KEEP_ALIVE_S
         else:
-            kept_s = min(kept_s - KEEP_MARGIN_S, KEPT_S)
+            kept_s = min(kept_s - KEEP_ALIVE_MARGIN_S, DEFAULT_KEEP_ALIVE_S)
         if not conn.finish():
             return
         if kept_s <= 0:
@@ -77,8 +77,8 @@
         self._idle.setdefault(conn.peer, []).append(conn)
 
     def keep(self, conn: HttpConnection, head: WireHead) -> None:
-        """Keep a connection for as long as the answer's head says."""
-        self.give_back(conn, kept_s=kept_s_of(head.headers))
+        """Return a connection to the pool, as the response headers allow."""
+        self.release(conn, kept_s=kept_s_of(head.headers))
 
     async def call(
         self,
@@ -86,17 +86,17 @@
         request: WireRequest,
         *,
         timeout_s: float,
-        most_bytes: int = MOST_ANSWER_BYTES,
+        most_bytes: int = MAX_ANSWER_BYTES,
         on_bytes: Callable[[int], None] | None = None,
     ) -> WireAnswer:
-        """Make one call and wait for its whole answer; never repeated.
+        """Make one call and wait for its complete response; never retried.
 
-        ``on_bytes`` is told the size of each part of the body as it comes.
+        ``on_bytes`` gets the size of each part of the body as it arrives.
 
         Raises
         ------
         UpstreamError
-            When no whole answer came in time.
+            When no complete response arrived in time.
         """
         conn: HttpConnection | None = None
         try:
@@ -125,7 +125,7 @@
             conn.close()
 
     def sweep(self) -> None:
-        """Close what was idle for too long, or was closed meanwhile."""
+        """Close connections that were idle too long or closed by the peer."""
         now = clock_s()
         for address, conns in list(self._idle.items()):
             kept = [
@@ -145,7 +145,7 @@
         for address in list(self._idle):
             self.drop(address)
 
-    def _kept(self, address: str) -> HttpConnection | None:
+    def _take_idle(self, address: str) -> HttpConnection | None:
         conns = self._idle.get(address, [])
         now = clock_s()
         while conns:
@@ -177,7 +177,7 @@
 
 
 def kept_s_of(headers: tuple[tuple[str, str], ...]) -> float | None:
-    """Read how long the other side keeps the connection, in seconds.
+    """Return the peer's keep-alive timeout in seconds; None if not announced.
 
     >>> kept_s_of((('keep-alive', 'timeout=5, max=100'),))
     5.0
--- a/packages/daemon/src/crowrudder_daemon/logs.py
+++ b/packages/daemon/src/crowrudder_daemon/logs.py
@@ -1,6 +1,6 @@
-"""Logs: one JSON object a line, on standard error or, in a fleet, bounded.
+"""Logs: one JSON object per line, on standard error or, in a fleet, rate-limited.
 
-Fields come by ``extra``: ``request_id``, ``attempt``, ``peer`` and ``step``.
+Fields are passed in ``extra``: ``request_id``, ``attempt``, ``peer``, ``step``.
 ``host`` and ``role`` are on every line.
 """
 
@@ -20,24 +20,24 @@
 
 ROOT = 'crowrudder'
 BURST_S = 2.0
-"""Lines of so many seconds may come at once."""
+"""Burst size, as seconds of the line rate."""
 
 _FORMAT = '%(asctime)s %(levelname)s %(name)s %(message)s'
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines at a bounded rate, and never waits for their reader.
+    """Writes lines at a limited rate and never blocks on their reader.
 
-    What goes wrong otherwise: under overload each refusal writes a line, and
-    a reader that has stopped lets the process stand still in a write. Lines
-    that are left out are counted, and the count comes with the next line.
+    Under overload each refusal writes a line, and with a reader that has
+    stopped, a blocking write would stall the process. Dropped lines are
+    counted, and the count is added to the next line.
 
     Parameters
     ----------
     descriptor
-        Where the lines go.
+        File descriptor to write to.
     lines_per_s
-        Most lines a second in the long run.
+        Long-run limit of lines per second.
     """
 
     def __init__(self, descriptor: int, *, lines_per_s: float) -> None:
@@ -48,7 +48,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or count it as left out."""
+        """Write a line, or count it as dropped."""
         if not self._bucket.take(1, now=record.created):
             self._left_out += 1
             return
@@ -58,7 +58,7 @@
             line = self.format(record).encode() + b'\n'
             os.write(self._descriptor, line)
         except BlockingIOError:
-            # Nobody reads: told by the count, as soon as somebody does.
+            # The pipe is full; the count is logged once it is read again.
             self._left_out += 1
         except Exception:
             self.handleError(record)
@@ -72,10 +72,10 @@
     *,
     lines_per_s: float = 0,
 ) -> logging.Logger:
-    """Make the logger of this process.
+    """Configure logging and return the logger of this process.
 
-    Loggers of libraries keep to warnings: their lines carry no request. With
-    ``lines_per_s`` the lines go to standard output, and no more of them.
+    Library loggers are limited to warnings: their lines carry no request id.
+    With ``lines_per_s`` the lines go to standard output, limited to that rate.
     """
     handler: logging.Handler = logging.StreamHandler(stream or sys.stderr)
     if lines_per_s:
@@ -97,8 +97,8 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
-    # `tornado.access` writes errors for 5xx: under overload each refusal would
-    # cost a line, when time is short. Outcomes are counted as metrics.
+    # `tornado.access` logs an error for each 5xx: under overload each refusal
+    # would cost a log line when time is short. Outcomes are counted as metrics.
     logging.getLogger('tornado.access').setLevel(logging.CRITICAL)
     log = logging.getLogger(ROOT)
     log.setLevel(cfg.logs.level.upper())
--- a/packages/daemon/src/crowrudder_daemon/metrics.py
+++ b/packages/daemon/src/crowrudder_daemon/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics: OpenTelemetry instruments behind names and labels that are fixed.
+"""Metrics: OpenTelemetry instruments with fixed names and labels.
 
-Every name starts with ``crowrudder_``; counters end in ``_total``. A label that
-wasn't declared is refused, so that an id can't become a label by accident and
-grow the process with every request.
+Every name starts with ``crowrudder_``; counters end in ``_total``. Undeclared
+labels are refused, so that an id can't become a label by accident and grow
+memory with every request.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 
 class LabelError(ValueError):
-    """A metric was used with other labels than were declared."""
+    """A metric was used with labels other than the declared ones."""
 
 
 @frozen
 class Counter:
-    """A sum that only rises."""
+    """A monotonic sum."""
 
     name: str
     labels: frozenset[str]
@@ -47,14 +47,14 @@
 
 @frozen
 class Histogram:
-    """A spread of measured values."""
+    """A distribution of measured values."""
 
     name: str
     labels: frozenset[str]
     _instrument: api.Histogram
 
     def record(self, measured: float, **labels: str) -> None:
-        """Take one value; every declared label must be given."""
+        """Record one value; every declared label must be given."""
         _check(self.name, self.labels, labels)
         self._instrument.record(measured, labels)
 
@@ -122,7 +122,7 @@
         read: Callable[[], float],
         **labels: str,
     ) -> None:
-        """Declare a gauge, whose value is read when metrics are asked for."""
+        """Declare a gauge, whose value is read when metrics are rendered."""
         self.gauges(name, description, lambda: ((labels, read()),))
 
     def gauges(
@@ -143,11 +143,11 @@
         )
 
     def invariant_violated(self, invariant: str) -> None:
-        """Count an unsafe act that an invariant refused."""
+        """Count an unsafe operation that an invariant refused."""
         self.invariant_violations.add(invariant=invariant)
 
     def render(self) -> bytes:
-        """Write all metrics in Prometheus' text form."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def close(self) -> None:
--- a/packages/daemon/src/crowrudder_daemon/process.py
+++ b/packages/daemon/src/crowrudder_daemon/process.py
@@ -1,4 +1,4 @@
-"""The life of a process, and the contract between it and its role."""
+"""The lifecycle of a process, and the interface to its role."""
 
 from __future__ import annotations
 
--- a/packages/daemon/src/crowrudder_daemon/rpc/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC between crowrudder processes, with the library's extras switched off."""
+"""gRPC between crowrudder processes; its retries and proxies are off."""
 
 from crowrudder_daemon.rpc._client import PeerClient, PeerStream
 from crowrudder_daemon.rpc._server import PeerServer
--- a/packages/daemon/src/crowrudder_daemon/rpc/_client.py
+++ b/packages/daemon/src/crowrudder_daemon/rpc/_client.py
@@ -1,4 +1,4 @@
-"""Call other crowrudder processes; one channel for each address."""
+"""Calls to other crowrudder processes; one channel for each address."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class PeerStream(Generic[_Ask, _Reply]):
-    """A stream to a peer; every break is a `PeerLostError`."""
+    """A stream to a peer; every failure is raised as `PeerLostError`."""
 
     def __init__(self, call: Any, *, step: str, peer: str) -> None:
         self._call = call
@@ -40,37 +40,37 @@
         try:
             await self._call.write(message)
         except (aio.AioRpcError, asyncio.InvalidStateError) as exc:
-            raise self._lost(exc) from exc
+            raise self._peer_lost(exc) from exc
 
     async def read(self) -> _Reply | None:
-        """Read one message; None at the orderly end."""
+        """Read one message; None at the end of the stream."""
         try:
             reply = await self._call.read()
         except aio.AioRpcError as exc:
-            raise self._lost(exc) from exc
+            raise self._peer_lost(exc) from exc
         except asyncio.CancelledError:
             self._call.cancel()
             raise
-        return None if reply is _END else self._readable(reply)
+        return None if reply is _END else self._well_formed(reply)
 
     def __aiter__(self) -> AsyncIterator[_Reply]:
-        """Iterate until the orderly end."""
+        """Iterate until the end of the stream."""
         return self._iterate()
 
     def cancel(self) -> None:
-        """Give the call up."""
+        """Cancel the call."""
         self._call.cancel()
 
     async def _iterate(self) -> AsyncIterator[_Reply]:
         while (reply := await self.read()) is not None:
             yield reply
 
-    def _readable(self, reply: _Reply | MalformedMessageError) -> _Reply:
+    def _well_formed(self, reply: _Reply | MalformedMessageError) -> _Reply:
         if isinstance(reply, MalformedMessageError):
-            raise self._lost(reply) from reply
+            raise self._peer_lost(reply) from reply
         return reply
 
-    def _lost(self, exc: BaseException) -> PeerLostError:
+    def _peer_lost(self, exc: BaseException) -> PeerLostError:
         return PeerLostError(_reason(exc), step=self._step, peer=self._peer)
 
 
@@ -84,7 +84,7 @@
         self,
         peer: str,
         method: Method[_Ask, _Reply],
-        ask: _Ask,
+        request: _Ask,
         *,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> _Reply:
@@ -93,9 +93,9 @@
         Raises
         ------
         PeerLostError
-            When no answer came in time, for whatever reason.
+            When no valid reply arrived in time, for any reason.
         """
-        multi = self._channel(peer).unary_unary(
+        method_call = self._channel(peer).unary_unary(
             method.path,
             request_serializer=encode_message,
             response_deserializer=partial(
@@ -105,7 +105,7 @@
             ),
         )
         try:
-            reply = await multi(ask, timeout=timeout_s)
+            reply = await method_call(request, timeout=timeout_s)
         except aio.AioRpcError as exc:
             raise PeerLostError(
                 _reason(exc),
@@ -124,16 +124,16 @@
         self,
         peer: str,
         method: Method[_Ask, _Reply],
-        ask: _Ask | None = None,
+        request: _Ask | None = None,
     ) -> PeerStream[_Ask, _Reply]:
-        """Open a stream; ``ask`` is given where the call takes one message."""
+        """Open a stream; ``request`` is for calls that take one message."""
         channel = self._channel(peer)
         opener = (
             channel.stream_stream
             if method.kind is CallKind.BOTH_STREAM
             else channel.unary_stream
         )
-        multi: Any = opener(
+        method_call: Any = opener(
             method.path,
             request_serializer=encode_message,
             response_deserializer=partial(
@@ -142,17 +142,17 @@
                 peer=peer,
             ),
         )
-        call = multi() if ask is None else multi(ask)
+        call = method_call() if request is None else method_call(request)
         return PeerStream(call, step=method.name, peer=peer)
 
     async def forget(self, peer: str) -> None:
-        """Close the channel to a peer that is gone."""
+        """Close the channel to a peer that has left."""
         channel = self._channels.pop(peer, None)
         if channel is not None:
             await channel.close(None)
 
     async def keep_only(self, peers: set[str]) -> None:
-        """Close the channels to all others; calls on them are cut off."""
+        """Close the channels to all other peers; their calls are cancelled."""
         for peer in self._channels.keys() - peers:
             await self.forget(peer)
 
@@ -174,11 +174,11 @@
     kind: type[_Reply],
     peer: str,
 ) -> _Reply | MalformedMessageError:
-    """Decode an answer, or give what is wrong with it as a value.
+    """Decode a reply, or return the decoding error as a value.
 
-    grpcio logs what a deserializer raises and hands on None: the end of a
-    stream to its reader, and to a caller no reply at all. So the fault comes
-    as a value, and is raised where the answer is read.
+    grpcio logs what a deserializer raises and returns None, which means the
+    end of a stream to its reader and no reply to a caller. So the error is
+    returned as a value and raised where the reply is read.
     """
     try:
         return decode_message(payload, kind, peer=peer)
--- a/packages/daemon/src/crowrudder_daemon/rpc/_options.py
+++ b/packages/daemon/src/crowrudder_daemon/rpc/_options.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-MESSAGE_BYTES = 64 * 1024 * 1024
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 """Largest message: one chunk of weights with its envelope."""
 
 KEEPALIVE_MS = 2000
-"""A frozen peer sends no reset; only a missing keepalive shows it."""
+"""A suspended peer sends no reset; only a missed keepalive detects it."""
 
 KEEPALIVE_TIMEOUT_MS = 2000
 
@@ -15,8 +15,8 @@
     ('grpc.service_config_disable_resolution', 1),
     ('grpc.enable_http_proxy', 0),
     ('grpc.use_local_subchannel_pool', 1),
-    ('grpc.max_send_message_length', MESSAGE_BYTES),
-    ('grpc.max_receive_message_length', MESSAGE_BYTES),
+    ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
+    ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
     ('grpc.keepalive_time_ms', KEEPALIVE_MS),
     ('grpc.keepalive_timeout_ms', KEEPALIVE_TIMEOUT_MS),
     ('grpc.http2.max_pings_without_data', 0),
@@ -26,12 +26,12 @@
 
 SERVER_OPTIONS: tuple[tuple[str, int], ...] = (
     ('grpc.so_reuseport', 0),
-    ('grpc.max_send_message_length', MESSAGE_BYTES),
-    ('grpc.max_receive_message_length', MESSAGE_BYTES),
+    ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
+    ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
     ('grpc.keepalive_time_ms', KEEPALIVE_MS),
     ('grpc.keepalive_timeout_ms', KEEPALIVE_TIMEOUT_MS),
     ('grpc.http2.min_ping_interval_without_data_ms', 1000),
     ('grpc.http2.max_ping_strikes', 0),
-    # Pings on idle connections would be half of a process's traffic at rest.
+    # Pings on idle connections would be half of an idle process's traffic.
     ('grpc.keepalive_permit_without_calls', 0),
 )
--- a/packages/daemon/src/crowrudder_daemon/rpc/_server.py
+++ b/packages/daemon/src/crowrudder_daemon/rpc/_server.py
@@ -1,4 +1,4 @@
-"""Serve remote calls from a table of methods and handlers."""
+"""gRPC server for a table of methods and handlers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_MAKERS = {
+_HANDLER_FACTORIES = {
     CallKind.UNARY: grpc.unary_unary_rpc_method_handler,
     CallKind.DOWN_STREAM: grpc.unary_stream_rpc_method_handler,
     CallKind.BOTH_STREAM: grpc.stream_stream_rpc_method_handler,
@@ -42,15 +42,15 @@
         method: Method[Any, Any],
         handler: Callable[..., Any],
     ) -> None:
-        """Serve a method by a coroutine or an async generator."""
-        self._handlers[method.name] = _MAKERS[method.kind](
+        """Register a coroutine function or async generator for a method."""
+        self._handlers[method.name] = _HANDLER_FACTORIES[method.kind](
             handler,
             request_deserializer=partial(decode_message, kind=method.ask),
             response_serializer=encode_message,
         )
 
     async def start(self) -> None:
-        """Listen; all methods must have been added."""
+        """Start listening; all methods must have been added."""
         self._server.add_generic_rpc_handlers(
             (
                 grpc.method_handlers_generic_handler(
@@ -62,5 +62,5 @@
         await self._server.start()
 
     async def stop(self, grace_s: float) -> None:
-        """Stop taking calls; running ones get ``grace_s`` seconds."""
+        """Stop accepting calls; running ones get ``grace_s`` seconds."""
         await self._server.stop(grace_s)
--- a/packages/daemon/src/crowrudder_daemon/settings/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of one process: an INI file, checked as a whole."""
+"""The settings of a process: an INI file, validated as a whole."""
 
 from __future__ import annotations
 
--- a/packages/daemon/src/crowrudder_daemon/settings/_faults.py
+++ b/packages/daemon/src/crowrudder_daemon/settings/_faults.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file, in words that say what to write."""
+"""Validation errors of a settings file, with the allowed values."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen
 class Fault:
-    """One thing to mend in a settings file.
+    """One validation error in a settings file.
 
     >>> print(Fault('a.ini', 'limits', 'slots', '0', 'a whole number from 1'))
     a.ini: [limits] slots: found '0', allowed: a whole number from 1
@@ -27,7 +27,7 @@
 
 
 class SettingsError(Exception):
-    """The settings can't be used; carries every fault, in file order."""
+    """The settings are invalid; carries all faults in file order."""
 
     step = 'settings'
 
--- a/packages/daemon/src/crowrudder_daemon/settings/_kinds.py
+++ b/packages/daemon/src/crowrudder_daemon/settings/_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of values: how a text is read, and what is allowed."""
+"""Kinds of values: how a text is parsed and which values are allowed."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 @frozen
 class Kind:
-    """A reader of texts; it raises `ValueError` for what is not allowed."""
+    """A parser of texts; raises `ValueError` for values not allowed."""
 
     parse: Callable[[str], object]
     allowed: str
 
 
 def whole(low: int, high: int) -> Kind:
-    """Read a whole number in decimal digits, from `low` to `high`.
+    """Return the kind of integers in decimal digits from `low` to `high`.
 
     >>> whole(1, 9).parse('7')
     7
     """
 
     def parse(text: str) -> int:
-        # `int` alone would take '1_0', ' 1', '+1' and digits of any script.
+        # `int` alone would accept '1_0', ' 1', '+1' and digits of any script.
         if not _DIGITS.fullmatch(text):
             raise ValueError(text)
         return _between(int(text), low, high)
@@ -43,7 +43,7 @@
 
 
 def decimal(low: float, high: float) -> Kind:
-    """Read a decimal number from `low` to `high`; no exponent, no `nan`.
+    """Return the kind of decimals from `low` to `high`; no exponent or `nan`.
 
     >>> decimal(0, 1).parse('0.25')
     0.25
@@ -58,7 +58,7 @@
 
 
 def word(*words: str) -> Kind:
-    """Read one of a few words."""
+    """Return the kind of a choice among fixed words."""
 
     def parse(text: str) -> str:
         if text not in words:
@@ -69,7 +69,7 @@
 
 
 def name() -> Kind:
-    """Read the name of a host, region, failure domain or service."""
+    """Return the kind of names of hosts, regions, domains and services."""
 
     def parse(text: str) -> str:
         if not _NAME.fullmatch(text):
@@ -84,17 +84,17 @@
 
 
 def ip_number() -> Kind:
-    """Read an IP number; names are refused, as nothing resolves them."""
+    """Return the kind of IP addresses; names are refused: no DNS lookups."""
     return Kind(_ip, 'an IP number, such as 127.0.0.1')
 
 
 def port() -> Kind:
-    """Read a TCP port."""
+    """Return the kind of TCP ports."""
     return whole(1, MAX_PORT)
 
 
 def endpoint(*, empty: bool = False) -> Kind:
-    """Read `IP:PORT`; an IPv6 number stands in brackets.
+    """Return the kind of `IP:PORT`; an IPv6 address is in brackets.
 
     >>> endpoint().parse('[::1]:80')
     '[::1]:80'
@@ -115,16 +115,16 @@
 
 def _host(text: str) -> str:
     if text.startswith('[') and text.endswith(']'):
-        return f'[{ipaddress.IPv6Address(_unzoned(text[1:-1]))}]'
+        return f'[{ipaddress.IPv6Address(_without_zone(text[1:-1]))}]'
     return str(ipaddress.IPv4Address(text))
 
 
 def _ip(text: str) -> str:
-    return str(ipaddress.ip_address(_unzoned(text)))
+    return str(ipaddress.ip_address(_without_zone(text)))
 
 
-def _unzoned(text: str) -> str:
-    # A zone (`fe80::1%eth0`) names an interface of one machine.
+def _without_zone(text: str) -> str:
+    # A zone (`fe80::1%eth0`) names a network interface of one machine only.
     if '%' in text:
         raise ValueError(text)
     return text
--- a/packages/daemon/src/crowrudder_daemon/settings/_read.py
+++ b/packages/daemon/src/crowrudder_daemon/settings/_read.py
@@ -1,4 +1,4 @@
-"""Reading a file into `Settings`, with all of its faults at once."""
+"""Parses a file into `Settings` and reports all of its faults at once."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-MOST_FILE_BYTES = 2**20
+MAX_FILE_BYTES = 2**20
 Texts = dict[str, dict[str, str]]
 
 
 def read_settings(path: str | Path) -> Settings:
-    """Read and check a file.
+    """Read and validate a file.
 
     Raises
     ------
@@ -29,8 +29,8 @@
     """
     try:
         with Path(path).open('rb') as stream:
-            encoded = stream.read(MOST_FILE_BYTES + 1)
-        if len(encoded) > MOST_FILE_BYTES:
+            encoded = stream.read(MAX_FILE_BYTES + 1)
+        if len(encoded) > MAX_FILE_BYTES:
             raise ValueError('longer than a megabyte')
         text = encoded.decode()
     except (OSError, ValueError) as exc:
@@ -40,23 +40,23 @@
 
 
 def parse_settings(text: str, *, file: str = 'settings') -> Settings:
-    """Check a file's text.
+    """Parse and validate the text of a file.
 
     Raises
     ------
     SettingsError
         With every fault of the text.
     """
-    check = _Check(file, _sections_of(text, file))
+    check = _Check(file, _parse_sections(text, file))
     settings = check.settings()
     if settings is None:
         raise SettingsError(tuple(check.faults))
     return settings
 
 
-def _sections_of(text: str, file: str) -> Texts:
-    # No default section and no interpolation: a `%` or a section that works
-    # into all others would give values that nobody finds in the file.
+def _parse_sections(text: str, file: str) -> Texts:
+    # No default section and no interpolation: a `%` or a section that applies
+    # to all others would produce values that can't be found in the file.
     parser = configparser.RawConfigParser(
         default_section='',
         delimiters=('=',),
@@ -87,7 +87,7 @@
 
 @define
 class _Check:
-    """One pass over the sections, which collects faults."""
+    """Validates the sections in one pass and collects faults."""
 
     file: str
     texts: Texts
@@ -96,8 +96,8 @@
     _upstream: str = ''
 
     def settings(self) -> Settings | None:
-        self._role = self._known_word('process', 'role', Scope.BOTH)
-        self._upstream = self._known_word('upstream', 'kind', Scope.AGENT)
+        self._role = self._choice_or_empty('process', 'role', Scope.BOTH)
+        self._upstream = self._choice_or_empty('upstream', 'kind', Scope.AGENT)
         self._refuse_unknown_sections()
         values = {
             name: self._section(name, declared, scope)
@@ -112,8 +112,8 @@
             **{name: classes[name](**keys) for name, keys in values.items()},
         )
 
-    def _known_word(self, section: str, key: str, scope: Scope) -> str:
-        """Read the words on which the other keys depend, or nothing."""
+    def _choice_or_empty(self, section: str, key: str, scope: Scope) -> str:
+        """Return the value of a key that others depend on, or empty."""
         if not self._covers(scope):
             return ''
         text = self.texts.get(section, {}).get(key, '')
@@ -146,7 +146,7 @@
         return {
             row.key: self._value(row, texts.get(row.key))
             for row in known
-            if row.key in texts or self._demands(scope, row)
+            if row.key in texts or self._requires(scope, row)
         }
 
     def _refuse_unknown_keys(
@@ -171,14 +171,14 @@
         return None
 
     def _check_ports(self, process: Mapping[str, object]) -> None:
-        """Name two keys with one port here, not at the second `bind`."""
-        taken: dict[object, str] = {}
+        """Report duplicate ports here, before the second `bind` fails."""
+        key_by_port: dict[object, str] = {}
         rpc = 'rpc_listen_port' if 'rpc_listen_port' in process else 'rpc_port'
         for key in (rpc, 'admin_port', 'http_port'):
             number = process.get(key)
             if number is None:
                 continue
-            other = taken.setdefault(number, key)
+            other = key_by_port.setdefault(number, key)
             if other != key:
                 allowed = f'another port than {other}'
                 self._fault('process', key, str(number), allowed)
@@ -186,9 +186,9 @@
     def _covers(self, scope: Scope) -> bool:
         return scope.covers(role=self._role, upstream=self._upstream)
 
-    def _demands(self, section: Scope, row: Row) -> bool:
+    def _requires(self, section: Scope, row: Row) -> bool:
         return not row.optional and all(
-            scope.demands(role=self._role, upstream=self._upstream)
+            scope.requires(role=self._role, upstream=self._upstream)
             for scope in (section, row.scope)
         )
 
--- a/packages/daemon/src/crowrudder_daemon/settings/_schema.py
+++ b/packages/daemon/src/crowrudder_daemon/settings/_schema.py
@@ -1,4 +1,4 @@
-"""How a key is declared, and for which processes it stands."""
+"""Declaration of settings keys and the processes to which they apply."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class Scope(enum.Enum):
-    """The processes for which a section or key may be written."""
+    """The processes to which a section or key applies."""
 
     BOTH = 'both'
     ENTRY = 'entry'
     AGENT = 'agent'
     ENGINE = 'agent (engine only)'
     PLAIN = 'agent (plain only)'
-    # May be written for every agent, must be for the agent of an engine.
+    # Optional for every agent, required for the agent of an engine.
     ENGINE_NEEDS = 'agent (must be given for engine)'
 
     def covers(self, *, role: str, upstream: str) -> bool:
-        """Whether it may be written for this role and kind of upstream.
+        """Return whether it is allowed for this role and kind of upstream.
 
-        An empty `role` or `upstream` is one that isn't known, as its own key
-        is at fault; then all that some process may write passes, so that one
-        fault isn't reported as many.
+        An empty `role` or `upstream` is unknown because its own key is
+        invalid. Then everything that some process may use is allowed, so that
+        one fault isn't reported as many.
         """
         match self:
             case Scope.BOTH:
@@ -45,8 +45,8 @@
             case _:
                 return role != 'entry'
 
-    def demands(self, *, role: str, upstream: str) -> bool:
-        """Whether a section, or a key without default, must be written."""
+    def requires(self, *, role: str, upstream: str) -> bool:
+        """Return whether a section or a key without default is required."""
         match self:
             case Scope.BOTH:
                 return True
@@ -71,7 +71,7 @@
 
     @property
     def optional(self) -> bool:
-        """Whether it may be left out where it stands."""
+        """Return whether it may be omitted where it applies."""
         return self.default is not NOTHING
 
 
@@ -87,13 +87,13 @@
     Parameters
     ----------
     kind
-        How its text is read.
+        How its text is parsed.
     scope
-        The processes for which it may be written.
+        The processes to which it applies.
     default
-        Its value when left out; none when it has to be written.
+        Its value when omitted; without one the key is required.
     absent
-        Its value in processes outside of its scope, if it has no default.
+        Its value in processes outside its scope, if it has no default.
     """
     return field(
         default=absent if default is NOTHING else default,
--- a/packages/daemon/src/crowrudder_daemon/settings/_sections.py
+++ b/packages/daemon/src/crowrudder_daemon/settings/_sections.py
@@ -1,7 +1,7 @@
-"""The sections of the file; each key has its kind and meaning beside it.
+"""The sections of the settings file and the kinds of their keys.
 
-These classes are the one table from which the check, the defaults and the
-reference page follow.
+These classes are the single source of the validation, the defaults and the
+reference page.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 )
 from crowrudder_daemon.settings._schema import Row, Scope, key, rows_of
 
-MOST_BYTES = 2**50
-MOST_COUNT = 1_000_000
+MAX_BYTES = 2**50
+MAX_COUNT = 1_000_000
 HOUR_S = 3600
 
 
 @frozen(kw_only=True)
 class ProcessSection:
-    """Who this process is and where it listens.
+    """Identity of the process and its listening addresses.
 
     `http_port` is 0 in an agent, which has no callers. `rpc_listen_port` is 0
-    where the process listens on the port that others call.
+    if the process listens on `rpc_port`, the port that others call.
     """
 
     role: str = key(word('entry', 'agent'))
@@ -44,13 +44,13 @@
 
     @property
     def rpc_listen_address(self) -> str:
-        """Where it listens for other processes."""
+        """Return the address for calls from other processes."""
         return f'{self.address}:{self.rpc_listen_port or self.rpc_port}'
 
 
 @frozen(kw_only=True)
 class PlatformSection:
-    """Where configuration and member list are read, and how often."""
+    """Source of the configuration and member list, and its poll interval."""
 
     address: str = key(endpoint())
     poll_s: float = key(decimal(0.2, 300), default=5.0)
@@ -58,7 +58,7 @@
 
 @frozen(kw_only=True)
 class UpstreamSection:
-    """The one engine or plain service beside an agent."""
+    """The engine or plain service of an agent."""
 
     kind: str = key(word('engine', 'plain'))
     address: str = key(endpoint())
@@ -70,19 +70,19 @@
 
 @frozen(kw_only=True)
 class WeightsSection:
-    """Where weights come from and what moving them may cost.
+    """Source of the weights, and the resources that transfers may use.
 
-    `store` is empty where there is none. Beside a plain service the section
-    may be left out: nothing is loaded there.
+    `store` is empty if there is none. For a plain service the section may be
+    omitted, as nothing is loaded.
     """
 
     origin: str = key(endpoint(), scope=Scope.ENGINE, absent='')
     store: str = key(endpoint(empty=True), scope=Scope.ENGINE, absent='')
     memory_bytes: int = key(
-        whole(1, MOST_BYTES), scope=Scope.ENGINE_NEEDS, absent=0
+        whole(1, MAX_BYTES), scope=Scope.ENGINE_NEEDS, absent=0
     )
     link_bytes_per_s: int = key(
-        whole(1, MOST_BYTES), scope=Scope.ENGINE_NEEDS, absent=0
+        whole(1, MAX_BYTES), scope=Scope.ENGINE_NEEDS, absent=0
     )
     upload_slots: int = key(whole(1, 64), default=2)
     live_share: float = key(decimal(0.05, 1), default=0.9)
@@ -90,12 +90,12 @@
 
 @frozen(kw_only=True)
 class LimitsSection:
-    """What a process takes in at most, and how long it waits."""
+    """Limits of accepted work, and deadlines."""
 
     max_body_bytes: int = key(whole(1, 2**30), default=2**20)
-    max_concurrent: int = key(whole(1, MOST_COUNT), default=2000)
-    queue_length: int = key(whole(0, MOST_COUNT), scope=Scope.AGENT, default=64)
-    slots: int = key(whole(1, MOST_COUNT), scope=Scope.AGENT, default=8)
+    max_concurrent: int = key(whole(1, MAX_COUNT), default=2000)
+    queue_length: int = key(whole(0, MAX_COUNT), scope=Scope.AGENT, default=64)
+    slots: int = key(whole(1, MAX_COUNT), scope=Scope.AGENT, default=8)
     default_deadline_s: float = key(
         decimal(0.01, HOUR_S), scope=Scope.ENTRY, default=30.0
     )
@@ -105,7 +105,7 @@
 
 @frozen(kw_only=True)
 class LogsSection:
-    """What is written to standard error."""
+    """What is logged to standard error."""
 
     level: str = key(word('debug', 'info', 'warning', 'error'), default='info')
 
@@ -125,7 +125,7 @@
     logs: LogsSection = LogsSection()
 
 
-# Sections in the order of the reference page, with the scope of each.
+# Sections in the order of the reference page, each with its scope.
 SECTIONS: tuple[tuple[str, type, Scope], ...] = (
     ('process', ProcessSection, Scope.BOTH),
     ('platform', PlatformSection, Scope.BOTH),
@@ -137,7 +137,7 @@
 
 
 def rows() -> tuple[Row, ...]:
-    """List every key of every section, in the order of the reference."""
+    """List all keys of all sections in the order of the reference page."""
     return tuple(
         row
         for section, declared, _ in SECTIONS
--- a/packages/daemon/src/crowrudder_daemon/settings/schema.py
+++ b/packages/daemon/src/crowrudder_daemon/settings/schema.py
@@ -1,4 +1,4 @@
-"""Kinds and keys from which a settings file's schema is declared."""
+"""Kinds and keys to declare the schema of a settings file."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_agent_role.py
+++ b/tests/daemon/test_agent_role.py
@@ -60,12 +60,13 @@
 
 
 class TestSpareHost:
-    """A host that no service is placed on is in the declared state.
+    """A host on which no service is placed is in the declared state.
 
-    Symptom: `crowrudder status --wait` never ended with 0 on a fleet with more
+    Symptom: `crowrudder status --wait` never exited with 0 on a fleet with more
     engines than replicas. Sequence: the files place a service on one of two
-    hosts; the other reports that its upstream has nothing loaded. Cause: what
-    keeps a host from serving was shown as what hinders the declared state.
+    hosts; the other reports that its upstream has nothing loaded. Cause: the
+    reasons why a host can't serve were reported as obstacles to the declared
+    state.
     """
 
     def test_spare_host_is_not_hindered(self):
--- a/tests/daemon/test_bounded_logs.py
+++ b/tests/daemon/test_bounded_logs.py
@@ -32,7 +32,7 @@
 
 
 class TestBoundedLogs:
-    def test_lines_over_the_rate_are_counted_and_told(self):
+    def test_dropped_lines_are_counted_and_reported(self):
         reader, writer = os.pipe()
         bounded = handler(writer)
         for number in range(100):
@@ -43,11 +43,11 @@
         assert len(lines) == burst + 1
         assert lines[-1]['left_out'] == 100 - burst
 
-    def test_a_reader_that_has_stopped_holds_nobody_up(self):
-        """A process stood still in a write.
+    def test_stopped_reader_does_not_block_the_process(self):
+        """A process blocked in a write to its log.
 
-        Symptom: all requests of an entry wait. Sequence: whoever reads its
-        log stops, the pipe fills. Cause: a write to the log waited for it.
+        Symptom: all requests of an entry wait. Sequence: the reader of its log
+        stops, and the pipe fills. Cause: writes to the log were blocking.
         """
         reader, writer = os.pipe()
         bounded = handler(writer, rate=1e9)
--- a/tests/daemon/test_callers_port.py
+++ b/tests/daemon/test_callers_port.py
@@ -1,4 +1,4 @@
-"""The callers' port as it closes."""
+"""Closing the port for callers."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class TestLateConnection:
-    """Symptom: a request of a rolling restart meets a reset connection.
+    """Symptom: a connection is reset during a rolling restart.
 
-    Sequence: the system completes a connection and takes the request; the
-    entry closes its port before it has accepted it.
-    Cause: a listener that closes resets the connections in its queue.
+    Sequence: the kernel completes a connection and receives the request; the
+    entry closes its port before it has accepted the connection.
+    Cause: closing a listener resets the connections in its accept queue.
     """
 
-    def test_one_that_waits_is_answered(self):
-        async def story():
+    def test_queued_connection_is_answered(self):
+        async def scenario():
             probe, number = bind_unused_port()
             probe.close()
             port = CallersPort(HTTPServer(Application()))
             port.listen(number, '127.0.0.1')
-            # Blocking calls: the loop can't accept in between.
+            # Blocking calls: the event loop can't accept in between.
             caller = socket.create_connection(('127.0.0.1', number))
             caller.sendall(LATE)
             port.close()
@@ -37,4 +37,4 @@
             loop = asyncio.get_running_loop()
             return await loop.sock_recv(caller, 100)
 
-        assert run(story()).startswith(b'HTTP/1.1 404')
+        assert run(scenario()).startswith(b'HTTP/1.1 404')
--- a/tests/daemon/test_entry_refusals.py
+++ b/tests/daemon/test_entry_refusals.py
@@ -50,27 +50,27 @@
     @pytest.mark.parametrize(
         'path', ['/v1/completions', '/v1/services/portal/enquiry']
     )
-    def test_caller_is_not_blamed(self, path):
+    def test_missing_configuration_is_503(self, path):
         """An entry that has just started knows no service yet.
 
         Symptom: callers of a plain service got 404 `unknown_service`, which
-        tells them never to try again.
-        Sequence: an entry is killed and started again; a call comes before
-        the entry has read the bundle.
-        Cause: the service was looked up before the absence of a bundle.
+        tells them not to retry.
+        Sequence: an entry is killed and restarted; a call arrives before the
+        entry has read the bundle.
+        Cause: the service was looked up before checking for a bundle.
         """
         answer = run(answer_of(path))
         code = json.loads(answer.body)['error']['code']
         assert (answer.code, code) == (503, 'no_configuration')
         assert answer.headers['X-Outcome'] == 'not_run'
 
-    def test_bundle_that_comes_between(self):
-        """The first bundle comes while the first requests are taken in.
+    def test_bundle_arrives_between_parsing_and_admission(self):
+        """The first bundle arrives while the first requests are admitted.
 
-        Symptom: a customer got 403 `not_allowed` for a service of its own.
-        Sequence: a request is read before the entry has a bundle, and is
-        admitted after.
-        Cause: it had no service, which no customer may use.
+        Symptom: a customer got 403 `not_allowed` for a service that it may use.
+        Sequence: a request is parsed before the entry has a bundle and admitted
+        after it.
+        Cause: the request had no service, and no customer may use that.
         """
         customer = Customer('c', services=('portal',))
         bundle = bundle_of(Declaration(generation=1, customers=(customer,)))
--- a/tests/daemon/test_logs_and_metrics.py
+++ b/tests/daemon/test_logs_and_metrics.py
@@ -31,10 +31,10 @@
 
 
 class TestRefusalsUnderOverload:
-    """Symptom: the log fills when the process has least time to write.
+    """Symptom: the log fills up while the process is overloaded.
 
-    Sequence: the process is not ready or overloaded and answers 503 again and
-    again. Cause: the HTTP library logs an error for each answer of 5xx.
+    Sequence: the process is not ready or overloaded and answers 503 repeatedly.
+    Cause: the HTTP library logs an error for each 5xx response.
     """
 
     def test_refusal_writes_no_line(self, caplog):
@@ -67,7 +67,7 @@
         assert 'crowrudder_load{host="a"} 0.5' in text
         assert 'crowrudder_wait_seconds_bucket{le="0.25"} 0.0' in text
 
-    def test_two_processes_of_one_test_keep_apart(self):
+    def test_metrics_of_two_processes_are_separate(self):
         one, other = Metrics(), Metrics()
         one.invariant_violated('x')
         assert b'invariant="x"' not in other.render()
--- a/tests/daemon/test_process.py
+++ b/tests/daemon/test_process.py
@@ -116,9 +116,9 @@
 class TestFaultInAHandler:
     """Symptom: one bad message ends a process that serves hundreds.
 
-    Sequence: a callable of the role raises while an admin address is asked, or
-    a spawned job dies. Cause: a fault that nobody expected. It has to be
-    counted and logged, and the process has to go on.
+    Sequence: a callable of the role raises during an admin request, or a
+    spawned job fails. Cause: an unhandled exception. It must be counted and
+    logged, and the process must continue.
     """
 
     def test_fault_in_status_is_counted_and_the_next_answer_comes(self):
@@ -200,7 +200,7 @@
         run(scenario())
 
     def test_drain_that_was_cancelled_from_within_is_cut_off(self):
-        """The future that a drain waits for may be cancelled by another."""
+        """The future that a drain waits for may be cancelled elsewhere."""
 
         async def scenario():
             made = await bench(FakeRole(cancelled='drain'))
@@ -210,15 +210,15 @@
         run(scenario())
 
     @pytest.mark.parametrize(('step', 'code'), [('drain', 3), ('stop', 0)])
-    def test_part_that_never_ends_holds_nothing_up(
+    def test_step_that_never_ends_does_not_block_shutdown(
         self, step, code, monkeypatch
     ):
-        """A process that was told to leave stayed.
+        """A process did not exit after it was asked to stop.
 
-        Symptom: an agent ran on after its drain was to be cut off; its
-        successor found the port taken. Sequence: the drain runs out of time,
-        and a task that is cancelled doesn't end. Cause: the wait for the end
-        of what was cancelled had no bound.
+        Symptom: an agent kept running after its drain was cut off; its
+        successor found the port in use. Sequence: the drain times out, and a
+        cancelled task doesn't end. Cause: the wait for cancelled tasks had no
+        timeout.
         """
         monkeypatch.setattr(_lifecycle, 'CLOSE_S', 0.05)
 
@@ -258,7 +258,7 @@
         role.release.set()
 
         def build(runtime):
-            # The signal comes once the loop turns, as from outside.
+            # The signal arrives while the loop runs, as from outside.
             asyncio.get_running_loop().call_soon(os.kill, os.getpid(), number)
             return role
 
@@ -270,10 +270,10 @@
         assert role.calls == ['start', 'drain', 'drained', 'stop']
 
     def test_task_that_never_ends_does_not_keep_the_process(self):
-        """The loop's own end waits for every task.
+        """Closing the event loop waits for every task.
 
-        Symptom, sequence and cause as for the part that never ends: here the
-        whole process is looked at, by its exit code.
+        Symptom, sequence and cause are those of the step that never ends; here
+        the exit code of a whole process is checked.
         """
         path = Path(__file__).parent
         done = subprocess.run(
--- a/tests/daemon/test_ticks.py
+++ b/tests/daemon/test_ticks.py
@@ -9,25 +9,25 @@
 
 
 class TestTicks:
-    def test_looks_of_all_periods_wake_the_process_together(self):
-        """A process at rest was woken fifty times a second, for ten looks.
+    def test_checks_of_all_periods_wake_the_process_together(self):
+        """An idle process was woken fifty times a second for ten checks.
 
-        Guards against timers that each have a time of their own.
+        Guards against timers that are not aligned with each other.
         """
         woken = []
-        looks = []
+        checks = []
 
-        async def look(period_s):
+        async def check_after(period_s):
             await sleep_to_tick(period_s)
             woken.append(asyncio.get_running_loop().time())
 
         async def check():
-            # They begin between two ticks.
+            # The sleeps begin between two ticks.
             await sleep_to_tick(TICK_S)
             for delay_s in (0, 0.01, 0.02):
                 await asyncio.sleep(delay_s)
-                looks.append(asyncio.ensure_future(look(TICK_S)))
-            await asyncio.gather(*looks)
+                checks.append(asyncio.ensure_future(check_after(TICK_S)))
+            await asyncio.gather(*checks)
 
         run(check())
         assert len(woken) == 3
--- a/tests/http/test_body_relay.py
+++ b/tests/http/test_body_relay.py
@@ -12,63 +12,65 @@
 
 
 class Body:
-    """Parts that are at hand, and what became of them."""
+    """Buffered parts, the consumed ones, and the pauses of reading."""
 
     def __init__(self, *parts: bytes | None) -> None:
-        self.at_hand = deque(parts)
-        self.taken: list[bytes] = []
-        self.holds: list[bool] = []
+        self.buffered = deque(parts)
+        self.consumed: list[bytes] = []
+        self.pauses: list[bool] = []
         self.sent: asyncio.Future[None] | None = None
 
     def next_part(self):
-        return self.at_hand.popleft() if self.at_hand else b''
+        return self.buffered.popleft() if self.buffered else b''
 
-    def take(self, part):
-        self.taken.append(part)
+    def consume(self, part):
+        self.consumed.append(part)
         return self.sent
 
-    def hold(self, *, is_held):
-        self.holds.append(is_held)
+    def set_paused(self, *, is_paused):
+        self.pauses.append(is_paused)
 
     def relay(self):
-        return BodyRelay(self.take, self.next_part, self.hold, pause_s=PAUSE_S)
+        return BodyRelay(
+            self.consume, self.next_part, self.set_paused, pause_s=PAUSE_S
+        )
 
 
 class TestBodyRelay:
-    def test_parts_are_taken_in_the_turn_in_which_they_come(self):
+    def test_parts_are_consumed_as_they_arrive(self):
         async def check():
             body = Body(b'a')
             relay = body.relay()
             job = asyncio.ensure_future(relay.run())
             await asyncio.sleep(0)
-            body.at_hand += (b'b', b'c')
+            body.buffered += (b'b', b'c')
             relay.on_bytes()
-            assert body.taken == [b'a', b'b', b'c']
-            body.at_hand.append(None)
+            assert body.consumed == [b'a', b'b', b'c']
+            body.buffered.append(None)
             relay.on_bytes()
             await job
 
         run(check())
 
-    def test_slow_reader_holds_up_the_next_part(self):
-        """A slow caller let its stream pile up in the entry's memory."""
+    def test_slow_reader_delays_the_next_part(self):
+        """A slow caller's stream must not accumulate in the entry's memory."""
 
         async def check():
             body = Body(b'a', b'b', None)
             body.sent = asyncio.get_running_loop().create_future()
             job = asyncio.ensure_future(body.relay().run())
             await asyncio.sleep(2 * PAUSE_S)
-            assert body.taken == [b'a']
-            assert body.holds == [True]
+            assert body.consumed == [b'a']
+            assert body.pauses == [True]
             body.sent.set_result(None)
             await job
-            assert body.taken == [b'a', b'b']
-            assert body.holds == [True, False]
+            assert body.consumed == [b'a', b'b']
+            assert body.pauses == [True, False]
 
         run(check())
 
-    def test_pause_of_the_sender_ends_it(self):
-        """A stream that stands still was waited for without an end."""
+    def test_stalled_sender_times_out(self):
+        """Without a timeout, a stalled stream is waited for indefinitely."""
 
         async def check():
             with pytest.raises(TimeoutError):
@@ -76,29 +78,29 @@
 
         run(check())
 
-    def test_parts_put_the_end_off(self):
+    def test_each_part_restarts_the_timeout(self):
         async def check():
             body = Body(b'a')
             relay = body.relay()
             job = asyncio.ensure_future(relay.run())
             for _ in range(4):
                 await asyncio.sleep(PAUSE_S / 2)
-                body.at_hand.append(b'b')
+                body.buffered.append(b'b')
                 relay.on_bytes()
             assert not job.done()
-            body.at_hand.append(None)
+            body.buffered.append(None)
             relay.on_bytes()
             await job
 
         run(check())
 
-    def test_fault_of_the_taker_is_raised_where_the_body_is_waited_for(self):
-        """A caller that left was found out by nobody."""
+    def test_exception_of_the_consumer_is_raised_by_run(self):
+        """Otherwise it goes unnoticed that the caller has left."""
 
         async def check():
             body = Body(b'a')
             relay = BodyRelay(
-                _refuse, body.next_part, body.hold, pause_s=PAUSE_S
+                _refuse, body.next_part, body.set_paused, pause_s=PAUSE_S
             )
             with pytest.raises(ConnectionError):
                 await relay.run()
--- a/tests/http/test_connection.py
+++ b/tests/http/test_connection.py
@@ -1,4 +1,4 @@
-"""Kept connections against servers that misbehave on the wire."""
+"""Persistent connections against servers that violate the protocol."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 
 
 class TestWholeAnswers:
-    def test_a_connection_is_used_again(self):
+    def test_connection_is_reused(self):
         async def check():
             async with serving([ANSWER, ANSWER]) as server:
                 pool = ConnectionPool()
                 for _ in range(2):
                     conn, answer = await answer_of(pool, server.address)
                     assert answer.body == b'ok'
-                    pool.give_back(conn, kept_s=None)
+                    pool.release(conn, kept_s=None)
                 assert server.connections == 1
                 pool.close()
 
         run(check())
 
-    def test_without_a_length_the_orderly_end_makes_it_whole(self):
+    def test_orderly_close_completes_an_answer_without_length(self):
         async def check():
             text = b'HTTP/1.1 200 OK\r\n\r\nsome'
             async with serving([text], close=True) as server:
@@ -55,24 +55,24 @@
 
 
 class TestRelay:
-    def test_more_than_is_read_ahead_comes_through(self):
-        """A stream whose bytes came all at once stood still for good."""
+    def test_body_larger_than_the_read_buffer_is_relayed(self):
+        """A stream whose bytes arrived all at once stalled permanently."""
 
         async def check():
             size = 5 * READ_AHEAD_BYTES
             head = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % size
-            taken: list[bytes] = []
+            consumed: list[bytes] = []
             async with serving([head + bytes(size)]) as server:
                 conn = await ConnectionPool().take(server.address, timeout_s=1)
                 conn.send(GET)
                 await conn.head()
-                await conn.relay(taken.append, pause_s=1)
-            assert len(b''.join(taken)) == size
+                await conn.relay(consumed.append, pause_s=1)
+            assert len(b''.join(consumed)) == size
 
         run(check())
 
-    def test_a_body_that_breaks_off_is_no_end(self):
-        """Half a stream was passed on as a whole one."""
+    def test_truncated_body_is_an_error(self):
+        """A truncated stream was forwarded as a complete one."""
 
         async def check():
             text = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
@@ -87,35 +87,35 @@
 
 
 class TestProgress:
-    def test_bytes_are_told_as_they_come(self):
-        """A read that moved counted as stalled.
+    def test_bytes_are_reported_as_they_arrive(self):
+        """A read that made progress was counted as stalled.
 
         Symptom: chunks are read from the origin twice. Sequence: many hosts
-        read at once, each chunk takes longer than a silent source may; it is
-        given up though bytes come all the time. Cause: progress was told
-        once, at the end.
+        read at once, and each chunk takes longer than the timeout of a silent
+        source; the read is abandoned although bytes keep arriving. Cause:
+        progress was reported only once, at the end.
         """
 
         async def check():
             body = b'x' * 200_000
             head = f'HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n'
             async with serving([head.encode() + body]) as server:
-                told: list[int] = []
+                reported: list[int] = []
                 await ConnectionPool().call(
                     server.address,
                     GET,
                     timeout_s=5,
-                    on_bytes=told.append,
+                    on_bytes=reported.append,
                 )
-            assert sum(told) == len(body)
-            assert len(told) > 1
+            assert sum(reported) == len(body)
+            assert len(reported) > 1
 
         run(check())
 
 
 class TestCutAnswers:
     @pytest.mark.parametrize('size', [5, 20, 39, len(ANSWER) - 1])
-    def test_a_cut_one_is_never_whole(self, size):
+    def test_truncated_answer_is_an_error(self, size):
         async def check():
             async with serving([ANSWER[:size]], close=True) as server:
                 with pytest.raises(BrokenAnswerError):
@@ -123,12 +123,12 @@
 
         run(check())
 
-    def test_one_without_a_length_that_is_reset_isnt_whole(self):
-        """Half an answer was passed on as a whole one.
+    def test_reset_answer_without_length_is_an_error(self):
+        """A truncated response was forwarded as a complete one.
 
-        Symptom: a notice ends in the middle of a word. Sequence: an upstream
-        sends an answer without a length and its connection is reset. Cause:
-        any end of the connection was taken for the end of the answer.
+        Sequence: an upstream sends a response without a length, and its
+        connection is reset. Cause: any end of the connection was treated as
+        the end of the response.
         """
 
         async def check():
@@ -148,7 +148,7 @@
             b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n',
         ],
     )
-    def test_what_is_no_answer_is_an_error(self, text):
+    def test_malformed_answer_is_an_error(self, text):
         async def check():
             async with serving([text], close=True) as server:
                 with pytest.raises(BrokenAnswerError):
@@ -159,29 +159,29 @@
 
 class TestSurplus:
     def test_bytes_after_the_answer_close_the_connection(self):
-        """One caller got the answer to another's request.
+        """A caller got the response to another caller's request.
 
-        Symptom: a buyer reads the summary of someone else's horse. Sequence:
-        an upstream sends a second answer after the first; the next request on
-        the connection takes it for its own. Cause: surplus bytes were kept.
+        Sequence: an upstream sends a second response after the first; the next
+        request on the connection receives it as its own. Cause: surplus bytes
+        were kept.
         """
 
         async def check():
             async with serving([ANSWER + ANSWER, ANSWER]) as server:
                 pool = ConnectionPool()
                 conn, _ = await answer_of(pool, server.address)
-                pool.give_back(conn, kept_s=None)
+                pool.release(conn, kept_s=None)
                 await answer_of(pool, server.address)
                 assert server.connections == 2
 
         run(check())
 
-    def test_bytes_that_come_while_idle_close_it_too(self):
+    def test_bytes_received_while_idle_close_the_connection(self):
         async def check():
             async with serving([ANSWER, ANSWER]) as server:
                 pool = ConnectionPool()
                 conn, _ = await answer_of(pool, server.address)
-                pool.give_back(conn, kept_s=None)
+                pool.release(conn, kept_s=None)
                 server.say(ANSWER)
                 await conn.closed()
                 assert not conn.is_open
@@ -190,7 +190,7 @@
 
         run(check())
 
-    def test_a_late_answer_to_another_request_is_read_over(self):
+    def test_late_answer_to_another_request_is_skipped(self):
         async def check():
             stray = b'HTTP/1.1 200 OK\r\nX-N: 1\r\nContent-Length: 1\r\n\r\na'
             own = b'HTTP/1.1 200 OK\r\nX-N: 2\r\nContent-Length: 1\r\n\r\nb'
@@ -210,13 +210,13 @@
 
 
 class TestEarlyAnswers:
-    def test_an_answer_before_the_body_was_read_ends_the_connection(self):
-        """An upstream took the next request for the rest of a body.
+    def test_answer_before_the_body_was_read_closes_the_connection(self):
+        """An upstream parsed the next request as the rest of a body.
 
         Symptom: an upstream runs a request that nobody sent. Sequence: it
-        answers a long request before it has read it and reads on later; the
-        next request comes on the same connection. Cause: the connection was
-        kept though bytes of the first request had not left.
+        answers a long request before it has read all of it and reads on later;
+        the next request arrives on the same connection. Cause: the connection
+        was reused although bytes of the first request were still unsent.
         """
 
         async def check():
@@ -234,19 +234,19 @@
                 )
                 await conn.answer(most_bytes=1000)
                 assert not conn.is_sent
-                pool.give_back(conn, kept_s=None)
+                pool.release(conn, kept_s=None)
                 assert not conn.is_open
 
         run(check())
 
 
 class TestTimes:
-    def test_a_connection_isnt_used_near_its_announced_end(self):
+    def test_connection_is_not_reused_near_its_keep_alive_end(self):
         async def check():
             async with serving([ANSWER, ANSWER]) as server:
                 pool = ConnectionPool()
                 conn, _ = await answer_of(pool, server.address)
-                pool.give_back(conn, kept_s=0.4)
+                pool.release(conn, kept_s=0.4)
                 assert not conn.is_open
 
         run(check())
@@ -272,14 +272,14 @@
 
 
 class TestUnsent:
-    def test_bytes_that_nobody_takes_are_told(self):
-        """Whether a close waits behind bytes on their way could not be seen."""
+    def test_unacknowledged_bytes_are_counted(self):
+        """It was not visible that a close is queued behind bytes in transit."""
 
         async def check():
             async with serving([]) as server:
                 conn = await ConnectionPool().take(server.address, timeout_s=1)
                 assert conn.unsent_bytes == 0
-                # More than the systems of both sides hold.
+                # More than the socket buffers of both sides hold.
                 size = 32 * 1024 * 1024
                 conn.send(evolve(GET, body=bytes(size)))
                 assert conn.unsent_bytes > size // 2
@@ -289,7 +289,7 @@
 
         run(check())
 
-    def test_of_a_connection_that_is_gone_it_is_unknown(self):
+    def test_unsent_bytes_of_a_closed_connection_are_unknown(self):
         async def check():
             async with serving([ANSWER], close=True) as server:
                 conn, _ = await answer_of(ConnectionPool(), server.address)
