--- a/packages/daemon/src/crowrudder_daemon/fleet/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/__init__.py
@@ -1,8 +1,8 @@
-"""What the processes of a fleet share: published records, peers, adapters.
+"""Parts that entries and agents of a fleet share: records, peers, adapters.
 
-In a fleet, configuration, upstreams and versions are records of an outside
-store, and entries send requests straight to the upstreams. An adapter
-translates; everything it has to offer is in `ports`.
+In a fleet, configuration, upstreams and versions are records in an external
+store, and entries send requests directly to the upstreams. An adapter
+translates between the store and this package; `ports` defines its interface.
 """
 
 from crowrudder_daemon.fleet._catalog_task import CatalogTask
--- a/packages/daemon/src/crowrudder_daemon/fleet/_catalog_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_catalog_task.py
@@ -1,4 +1,4 @@
-"""The task that owns the published records and learns of changes."""
+"""The task that owns the published records and receives their changes."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon._task import Task
 from crowrudder_daemon._ticks import sleep_to_tick, until_tick_s
+from crowrudder_daemon.fleet._describe import describe_record
 from crowrudder_daemon.fleet._records import (
-    AgesCame,
+    AgesReceived,
     PeerAhead,
     RecordsCame,
-    decoded_record,
-    read_records,
-    told_records,
+    decode_item,
+    peer_records,
+    platform_records,
 )
 from crowrudder_daemon.fleet._records_service import RecordsService
-from crowrudder_daemon.fleet._shown import shown
 from crowrudder_daemon.fleet._version_ends import VersionEnds
 from crowrudder_daemon.fleet._watch_times import Heard, WatchTimes
 from crowrudder_daemon.fleet.ports import (
@@ -53,28 +53,33 @@
     from crowrudder_model.fleet import Node
     from crowrudder_model.messages import PublishedItem
 
-REST_S = 0.2
-"""How often a process that leaves the watch to others looks whether it must
-step in."""
+IDLE_CHECK_INTERVAL_S = 0.2
+"""Interval in seconds at which a process that doesn't watch the platform
+itself checks whether it must take over."""
 
-TICK_S = 0.005
-"""Past a moment that is waited for, so that it has come."""
+DUE_MARGIN_S = 0.005
+"""Seconds added to a wait for a point in time, so that it ends after it."""
 
-START_S = 1.0
-"""From a process's start until it gets here, and some time to spare: it isn't
-held to the bounds for so much less than the operators allow."""
+STARTUP_ALLOWANCE_S = 1.0
+"""Seconds from a process's start until this task is created, with a margin.
+The settling time that the operators allow, in which the bounds aren't enforced,
+is shortened by it."""
 
 AGES_TIMEOUT_S = 1.0
-SWEEP_S = 0.2
+SWEEP_INTERVAL_S = 0.2
 
 
 class CatalogTask(Task):
-    """Owns the catalog and the view of the fleet that follows from it.
+    """Owns the catalog and the view of the fleet that is derived from it.
 
     Parameters
     ----------
     source
-        The platform.
+        The platform's store of published records.
+    peers
+        Lists the live entries, and sends the revision of this process.
+    client
+        Calls other processes.
     on_change
         Called after the view has changed.
     """
@@ -99,14 +104,14 @@
         self._random = random.Random(runtime.incarnation)
         self._pulling = False
         self._pull_timeout = AnswerTimeout()
-        self._away_at = -1.0e9
-        self._watch_times = WatchTimes(SWEEP_S)
+        self._last_outage_at = -1.0e9
+        self._watch_times = WatchTimes(SWEEP_INTERVAL_S)
         self.catalog = Catalog()
-        free_s = node.bounds.settle_s - START_S
+        free_s = node.bounds.settle_s - STARTUP_ALLOWANCE_S
         self.view = FleetView(node.bounds.version_s, clock_s() + free_s)
         self._ends = VersionEnds(runtime.log, self.view.releases)
-        # Agents learn from entries; they read for themselves only where no
-        # entry has told them anything for a while.
+        # Agents receive records from entries; they read the platform themselves
+        # only if no entry has reported anything for a while.
         is_entry = node.role == 'entry'
         self.reading = StoreReading(own=node.ip, is_reader=is_entry)
         self.reading.on_start(clock_s(), lists_at_once=is_entry)
@@ -115,71 +120,75 @@
             'Calls to the platform by their outcome.',
             labels=('call', 'outcome'),
         )
-        self._lag = runtime.metrics.histogram(
+        self._record_age = runtime.metrics.histogram(
             'record_age_seconds',
             'Age of a record from a peer when it was taken.',
         )
 
     def serve(self, server: PeerServer) -> None:
-        """Answer other processes that ask for changes."""
+        """Serve the calls of other processes for changes and ages."""
         RecordsService(self.catalog, self.reading).serve(server)
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start to read the platform."""
         super().start()
-        self.spawn(self._sweep_for_ever())
-        self.spawn(self._read_for_ever(self._source))
+        self.spawn(self._sweep_forever())
+        self.spawn(self._read_forever(self._source))
 
     def is_current(self) -> bool:
-        """Whether no change can have been missed for longer than the bound."""
+        """Return whether the records are confirmed within the allowed age."""
         return self.reading.is_current(clock_s(), self._node.bounds.config_s)
 
     def peer_heard(self, ip: str, revision: int, confirmed_s: float) -> None:
-        """Take a heartbeat's word on the published records."""
+        """Receive a peer's revision and confirmation age from a heartbeat."""
         self.reading.on_peer(confirmed_s, clock_s())
         if revision > self.catalog.revision:
             self.post(PeerAhead(f'{ip}:{self._node.rpc_port}', revision))
 
     def on_peer_ahead(self, message: PeerAhead) -> None:
-        """Ask for what is missing, one peer at a time."""
+        """Request the missing changes, from one peer at a time."""
         if self._pulling or message.revision <= self.catalog.revision:
             return
         self._pulling = True
         self.spawn(self._pull(message.address))
 
     def on_records_came(self, message: RecordsCame) -> None:
-        """Take records and renew the view."""
+        """Apply records and refresh the view."""
         now = clock_s()
         before = self.catalog.revision
-        take = self.catalog.replace if message.is_whole else self.catalog.apply
-        items = message.older_by_wait(self._with_ages(message.items, now), now)
-        fresh = take(items, through=message.through, now=now)
+        apply_items = (
+            self.catalog.replace if message.is_whole else self.catalog.apply
+        )
+        items = message.add_elapsed_time(
+            self._with_assumed_ages(message.items, now), now
+        )
+        changed = apply_items(items, through=message.through, now=now)
         self.reading.on_informed()
-        for item in fresh:
-            self._renew(item, message, now)
+        for item in changed:
+            self._refresh_view(item, message, now)
         self._peers.set_knowledge(
             self.catalog.revision,
             self.reading.confirmed_at,
         )
-        if fresh or before != self.catalog.revision:
+        if changed or before != self.catalog.revision:
             self._on_change()
 
-    def on_ages_came(self, message: AgesCame) -> None:
-        """Take ages and renew the view of the records that had none."""
+    def on_ages_received(self, message: AgesReceived) -> None:
+        """Apply ages and refresh the view of the records that had none."""
         now = clock_s()
-        aged = self.catalog.take_ages(message.older_by_wait(now), now=now)
+        aged = self.catalog.take_ages(message.add_elapsed_time(now), now=now)
         for item in aged:
-            self._renew(item, message, now)
+            self._refresh_view(item, message, now)
         if aged:
             self._on_change()
 
-    def _with_ages(
+    def _with_assumed_ages(
         self, items: tuple[PublishedItem, ...], now: float
     ) -> list[PublishedItem]:
-        """Give changes of unknown age the oldest one that they can have.
+        """Set the age of changes of unknown age to the highest possible one.
 
-        Only what is newer than all that is known here is a change: a record
-        that was known without its age is as old as before.
+        Only a record that is newer than the catalog's revision is a change. A
+        record that was known without its age keeps its unknown age.
         """
         age_s = self.reading.unknown_age_s(
             now, is_informed=bool(self.catalog.revision)
@@ -193,20 +202,20 @@
             for item in items
         ]
 
-    def _ask_for_ages(self) -> None:
-        """Ask a peer how old the records are that a new process has listed.
+    def _request_ages(self) -> None:
+        """Request the ages of the records that a new process has listed.
 
-        Without it a process that is restarted in the middle of a change of
-        versions takes the change for an old one, and uses only the engines
-        that have loaded it.
+        Without them, a process that is restarted during a change of versions
+        treats the change as an old one, and uses only the engines that have
+        loaded the new version.
         """
-        peers = [word.ip for word in self._peers.entries()]
+        peers = [entry.ip for entry in self._peers.entries()]
         others = [ip for ip in peers if ip != self._node.ip]
         if others:
             ip = self._random.choice(others)
-            self.spawn(self._learn_ages(f'{ip}:{self._node.rpc_port}'))
+            self.spawn(self._fetch_ages(f'{ip}:{self._node.rpc_port}'))
 
-    async def _learn_ages(self, address: str) -> None:
+    async def _fetch_ages(self, address: str) -> None:
         asked_at = clock_s()
         try:
             reply = await self._client.call(
@@ -215,7 +224,7 @@
         except PeerLostError as exc:
             self._log.info('ages not read: %s', exc)
             return
-        self.post(AgesCame(reply.ages, address, asked_at))
+        self.post(AgesReceived(reply.ages, address, asked_at))
 
     async def _pull(self, address: str) -> None:
         ask = ChangesAsk(self.catalog.revision, takes_deflated=True)
@@ -234,22 +243,22 @@
         self.reading.on_peer(changes.confirmed_s, asked_at)
         for item in changes.items:
             if item.age_s >= 0:
-                self._lag.record(item.age_s)
-        self.post(told_records(changes, address, as_of=asked_at))
+                self._record_age.record(item.age_s)
+        self.post(peer_records(changes, address, as_of=asked_at))
 
-    async def _read_for_ever(self, source: PublishedSource) -> None:
-        """List once, then watch; list again where changes were missed."""
+    async def _read_forever(self, source: PublishedSource) -> None:
+        """List once, then watch; list again if changes were missed."""
         while True:
-            names = [word.ip for word in self._peers.entries()]
+            names = [entry.ip for entry in self._peers.entries()]
             self.reading.on_entries(names)
             step = self.reading.step(clock_s())
             try:
                 await self._step(source, step)
             except HistoryGoneError as exc:
                 self.reading.on_forgotten()
-                self._note_call(step, 'history_gone', exc)
+                self._record_failed_call(step, 'history_gone', exc)
             except PlatformError as exc:
-                self._on_failed(step, exc)
+                self._on_failure(step, exc)
                 await asyncio.sleep(self.reading.pause_s(self._random))
 
     async def _step(self, source: PublishedSource, step: StoreStep) -> None:
@@ -257,8 +266,8 @@
             case StoreStep.REST:
                 self._watch_times.on_rest()
                 until_due_s = max(self.reading.lists_at - clock_s(), 0)
-                rest_s = until_tick_s(REST_S)
-                await asyncio.sleep(min(rest_s, until_due_s + TICK_S))
+                rest_s = until_tick_s(IDLE_CHECK_INTERVAL_S)
+                await asyncio.sleep(min(rest_s, until_due_s + DUE_MARGIN_S))
             case StoreStep.LIST:
                 is_informed = bool(self.catalog.revision)
                 asked_at = clock_s()
@@ -266,11 +275,11 @@
                 self._watch_times.on_listed(asked_at)
                 self._on_answer(step)
                 self.reading.on_listed()
-                self.post(read_records(listing, is_whole=True))
-                # The watch goes on from what this list brings in.
+                self.post(platform_records(listing, is_whole=True))
+                # Let the list be applied: the watch continues from its revision.
                 await asyncio.sleep(0)
                 if not is_informed:
-                    self._ask_for_ages()
+                    self._request_ages()
             case StoreStep.WATCH:
                 await self._watch(source)
 
@@ -288,12 +297,12 @@
         if not listing.items:
             self._peers.set_knowledge(after, self.reading.confirmed_at)
             return
-        self.post(read_records(listing, is_whole=False, as_of=since))
+        self.post(platform_records(listing, is_whole=False, as_of=since))
         await asyncio.sleep(self.reading.gather_s)
 
     def _on_answer(self, step: StoreStep) -> None:
         if self.reading.failures:
-            self._away_at = clock_s()
+            self._last_outage_at = clock_s()
             self._log.info(
                 'platform answers again',
                 extra={'step': step.value, 'failures': self.reading.failures},
@@ -301,12 +310,12 @@
         self.reading.on_answer(clock_s())
         self._calls.add(call=step.value, outcome='ok')
 
-    def _on_failed(self, step: StoreStep, exc: PlatformError) -> None:
+    def _on_failure(self, step: StoreStep, exc: PlatformError) -> None:
         self.reading.on_failed()
-        self._away_at = clock_s()
-        self._note_call(step, 'failed', exc)
+        self._last_outage_at = clock_s()
+        self._record_failed_call(step, 'failed', exc)
 
-    def _note_call(
+    def _record_failed_call(
         self,
         step: StoreStep,
         outcome: str,
@@ -323,17 +332,20 @@
             },
         )
 
-    def _renew(
-        self, item: PublishedItem, message: RecordsCame | AgesCame, now: float
+    def _refresh_view(
+        self,
+        item: PublishedItem,
+        message: RecordsCame | AgesReceived,
+        now: float,
     ) -> None:
         teller = message.teller
         if item.payload is None:
-            may_return = now - self._away_at < RETURN_S
+            may_return = now - self._last_outage_at < RETURN_S
             self.view.on_removed(item.key, now=now, may_return=may_return)
-            self._note(item, 'removed', teller)
+            self._log_record(item, 'removed', teller)
             return
         try:
-            record = decoded_record(self._source, item)
+            record = decode_item(self._source, item)
         except BadRecordError as exc:
             self._log.error(
                 'record refused',
@@ -345,11 +357,11 @@
             return
         age_s = self.catalog.age_s(item.key, now=now)
         named = record if isinstance(record, NamedVersion) else None
-        ended_at = self._ends.before(named) if named else math.inf
+        ended_at = self._ends.previous_end(named) if named else math.inf
         self.view.on_record(item.key, record, age_s=age_s, now=now)
-        self._note(item, shown(record), teller)
+        self._log_record(item, describe_record(record), teller)
         if named is not None:
-            self._ends.tell(
+            self._ends.log_change(
                 named,
                 ended_at=ended_at,
                 teller=teller,
@@ -357,7 +369,7 @@
                 now=now,
             )
 
-    def _note(self, item: PublishedItem, what: str, teller: str) -> None:
+    def _log_record(self, item: PublishedItem, what: str, teller: str) -> None:
         self._log.info(
             'record taken',
             extra={
@@ -370,16 +382,16 @@
             },
         )
 
-    async def _sweep_for_ever(self) -> None:
+    async def _sweep_forever(self) -> None:
         self._watch_times.tick()
         while True:
-            await sleep_to_tick(SWEEP_S)
+            await sleep_to_tick(SWEEP_INTERVAL_S)
             self._watch_times.tick()
             if self.view.forget_gone(now=clock_s()):
                 self._on_change()
 
     def status(self) -> dict[str, Any]:
-        """Tell what is in force."""
+        """Return the state of the records for the status page."""
         config = self.view.config
         return {
             'revision': self.catalog.revision,
--- a/packages/daemon/src/crowrudder_daemon/fleet/_shown.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_describe.py
@@ -1,4 +1,4 @@
-"""Published records in a few words, as the log shows them."""
+"""Short descriptions of published records for the log."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     from crowrudder_model.fleet import Published
 
 
-def shown(record: Published) -> str:
-    """Give a record's kind and what tells it from others."""
+def describe_record(record: Published) -> str:
+    """Return a record's kind and what identifies it."""
     match record:
         case FleetConfig(version=version):
             return f'configuration {version}'
--- a/packages/daemon/src/crowrudder_daemon/fleet/_peers_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_peers_task.py
@@ -1,4 +1,4 @@
-"""The task that owns the datagrams between processes of a fleet."""
+"""The task that sends and receives datagrams between a fleet's processes."""
 
 from __future__ import annotations
 
@@ -42,74 +42,75 @@
     from crowrudder_model.fleet import Node
     from crowrudder_model.messages import Datagram
 
-BEAT_S = 0.4
-"""Between two heartbeats; a word counts for four of them."""
+HEARTBEAT_INTERVAL_S = 0.4
+"""Mean seconds between two heartbeats; a status is valid for four of them."""
 
-LONG_BEATS = 5
-"""Every so many beats the seeds are asked as well: two halves of a fleet that
-a cut parted would else never meet again."""
+SEED_CONTACT_HEARTBEATS = 5
+"""Every so many heartbeats, one goes to the seeds as well. Otherwise two halves
+of a fleet would never find each other again after a network partition."""
 
-MOST_INTRODUCTIONS = 16
-"""Entries heard of through others that are asked for their word between two
-beats: a whole fleet that starts at once must not fill its links with it."""
+MAX_STATUS_REQUESTS = 16
+"""Maximum number of entries, known only through others, that are asked for
+their status between two heartbeats. It limits the traffic on the links when a
+whole fleet starts at once."""
 
-AGENT_LIVE_S = 3.0
-"""How long an agent counts as there without a word."""
+AGENT_TTL_S = 3.0
+"""Seconds after its last heartbeat for which an agent counts as live."""
 
 
 class PeerListener(Protocol):
-    """Who is told what heartbeats say."""
+    """Receives the contents of other processes' datagrams."""
 
     def peer_heard(self, ip: str, revision: int, confirmed_s: float) -> None:
-        """Take how far a process is with the published records."""
+        """Receive the revision and confirmation age of a process's records."""
 
     def load_heard(self, load: EngineLoad) -> None:
-        """Take an agent's word on the engine beside it."""
+        """Receive an agent's load report on its engine."""
 
     def loads_heard(self, batch: LoadBatch) -> None:
-        """Take what an entry passes on of agents' words."""
+        """Receive load reports of agents that an entry forwards."""
 
     def chunks_heard(self, ip: str, news: ChunkNews) -> None:
-        """Take an agent's word on the chunks that it holds."""
+        """Receive an agent's inventory of chunks."""
 
     def suspects_heard(self, ip: str, news: SuspectNews) -> None:
-        """Take an entry's word on requests under which upstreams ended."""
+        """Receive an entry's reports on requests under which upstreams ended."""
 
     def limits_heard(self, ip: str, news: LimitNews) -> None:
-        """Take an entry's word on limits that upstreams named."""
+        """Receive an entry's reports on limits that upstreams stated."""
 
 
 @frozen
-class DatagramCame:
-    """A datagram, and the IP number that sent it."""
+class DatagramReceived:
+    """A datagram was received from an IP address."""
 
     payload: bytes
     ip: str
 
 
 @frozen
-class BeatDue:
-    """Time for a heartbeat."""
+class HeartbeatDue:
+    """A heartbeat is due."""
 
 
-class _Port(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     def __init__(self, task: PeersTask) -> None:
         self._task = task
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        self._task.handle_now(DatagramCame(data, addr[0]))
+        self._task.handle_now(DatagramReceived(data, addr[0]))
 
     def error_received(self, exc: Exception) -> None:
         self._task.on_send_failed(exc)
 
 
 class PeersTask(Task):
-    """Owns the UDP port and the roster.
+    """Owns the UDP port and the roster of entries.
 
     Parameters
     ----------
     listener
-        Is told what others say.
+        Receives the contents of other processes' datagrams.
     """
 
     def __init__(self, runtime: Runtime, node: Node, listener: PeerListener):
@@ -120,13 +121,13 @@
         self._random = random.Random(runtime.incarnation)
         self._transport: asyncio.DatagramTransport | None = None
         self._agents: dict[str, float] = {}
-        self._beats = 0
-        self._introductions = MOST_INTRODUCTIONS
+        self._heartbeats_sent = 0
+        self._status_requests_left = MAX_STATUS_REQUESTS
         self._revision = 0
         self._confirmed_at = -1.0e9
         self._seeds = node.seeds
-        self.roster = Roster(_own_word(runtime, node))
-        self._bad = runtime.metrics.counter(
+        self.roster = Roster(_own_status(runtime, node))
+        self._malformed = runtime.metrics.counter(
             'peer_datagrams_bad',
             'Datagrams that are no heartbeat.',
         )
@@ -141,18 +142,18 @@
         )
 
     async def open(self) -> None:
-        """Listen, and begin to beat."""
+        """Open the UDP port and start to send heartbeats."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Port(self),
+            lambda: _DatagramProtocol(self),
             local_addr=(self._node.ip, self._node.gossip_port),
         )
         self._transport = transport
         self.start()
-        self.spawn(self._beat_for_ever())
+        self.spawn(self._schedule_heartbeats())
 
     async def stop(self) -> None:
-        """End the loop and close the port."""
+        """Stop the task and close the port."""
         await super().stop()
         if self._transport is not None:
             self._transport.close()
@@ -166,32 +167,32 @@
         return self.roster.entries(now=clock_s())
 
     def set_state(self, *, ready: bool, leaving: bool) -> None:
-        """Change what is told of this process; a change is told at once."""
+        """Set the status of this process; a change is sent at once."""
         if self.roster.set_own(ready=ready, leaving=leaving):
-            self.tell_all()
+            self.send_to_all()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Replace the hosts to ask where nobody else is known."""
+        """Replace the hosts to contact while no other entry is known."""
         self._seeds = seeds
 
     def set_knowledge(self, revision: int, confirmed_at: float) -> None:
-        """Take how far this process is; a higher revision is passed on."""
+        """Set the revision of this process; a higher one is sent at once."""
         self._confirmed_at = confirmed_at
         if revision > self._revision:
             self._revision = revision
-            self.tell_some()
+            self.send_to_some()
 
-    def on_datagram_came(self, message: DatagramCame) -> None:
-        """Take a heartbeat."""
+    def on_datagram_received(self, message: DatagramReceived) -> None:
+        """Decode a datagram and dispatch its message."""
         try:
             datagram = decode_datagram(message.payload, peer=message.ip)
         except MalformedMessageError as exc:
-            self._bad.add()
-            self._log.debug('datagram left: %s', exc)
+            self._malformed.add()
+            self._log.debug('datagram ignored: %s', exc)
             return
         match datagram:
             case Heartbeat():
-                self._take(datagram, message.ip)
+                self._apply_heartbeat(datagram, message.ip)
             case EngineLoad():
                 self._listener.load_heard(datagram)
             case LoadBatch():
@@ -203,136 +204,141 @@
             case LimitNews():
                 self._listener.limits_heard(message.ip, datagram)
 
-    def on_beat_due(self, _message: BeatDue) -> None:
-        """Send a heartbeat to those who are to have one."""
-        self._beats += 1
-        self._introductions = MOST_INTRODUCTIONS
-        alone = not self.roster.known(now=clock_s())
-        beat = self._heartbeat(alone=alone)
+    def on_heartbeat_due(self, _message: HeartbeatDue) -> None:
+        """Send a heartbeat to the partners of this process."""
+        self._heartbeats_sent += 1
+        self._status_requests_left = MAX_STATUS_REQUESTS
+        isolated = not self.roster.known(now=clock_s())
+        heartbeat = self._heartbeat(isolated=isolated)
         if not self._is_entry:
             self._send(
-                {*self._contacts(), *(self._seeds if alone else ())}, beat
+                {*self._contacts(), *(self._seeds if isolated else ())},
+                heartbeat,
             )
             return
-        seeds = self._seeds if alone or self._beats % LONG_BEATS == 0 else ()
-        near, far = partners(*self._others(), self._random)
+        seeds = (
+            self._seeds
+            if isolated or self._heartbeats_sent % SEED_CONTACT_HEARTBEATS == 0
+            else ()
+        )
+        near, far = partners(*self._other_entries(), self._random)
         region = self._node.place.region
-        self._send({*near, *self._heard_agents()}, self._with_sightings(beat))
-        self._send({*far, *seeds}, self._with_sightings(beat, region))
+        self._send(
+            {*near, *self._live_agents()}, self._with_last_seen(heartbeat)
+        )
+        self._send({*far, *seeds}, self._with_last_seen(heartbeat, region))
 
     def on_send_failed(self, exc: Exception) -> None:
-        """Count what the system refused; heartbeats come again anyway."""
+        """Count a failed send; it isn't retried, as heartbeats are periodic."""
         self._unsent.add()
         self._log.debug('datagram not sent: %s', exc)
 
-    def tell_all(self) -> None:
-        """Send a heartbeat to everyone known, now."""
-        near, far = self._others()
-        self._send({*near, *far, *self._heard_agents()}, self._heartbeat())
+    def send_to_all(self) -> None:
+        """Send a heartbeat to all known processes now."""
+        near, far = self._other_entries()
+        self._send({*near, *far, *self._live_agents()}, self._heartbeat())
 
-    def tell_some(self) -> None:
-        """Send a heartbeat to some, who pass on what is new to them."""
+    def send_to_some(self) -> None:
+        """Send a heartbeat to some processes, which forward what is new to them."""
         if not self._is_entry:
             self._send(set(self._contacts()), self._heartbeat())
             return
-        near, far = self._others()
+        near, far = self._other_entries()
         targets = {
             *drawn(near, NEWS_PARTNERS, self._random),
             *drawn(far, 1, self._random),
-            *self._heard_agents(),
+            *self._live_agents(),
         }
         self._send(targets, self._heartbeat())
 
     def tell(self, datagram: Datagram, ips: Iterable[str]) -> None:
-        """Send something else to some hosts, now."""
+        """Send a message to some hosts now."""
         self._send_bytes(encode_message(datagram), ips)
 
     def tell_partners(self, datagram: Datagram) -> None:
-        """Send something to a bounded number of entries, who pass it on."""
-        near, far = partners(*self._others(), self._random)
+        """Send a message to a bounded number of entries, which forward it."""
+        near, far = partners(*self._other_entries(), self._random)
         self.tell(datagram, [*near, *far])
 
     def entry_ips(self) -> tuple[list[str], list[str]]:
-        """List the hosts of live entries: of the own region, and of others.
+        """List the IP addresses of live entries: own region, other regions.
 
-        While none is known the seeds stand for those of the own region.
+        While no entry is known, the seeds take the place of the own region.
         """
         near, far = split_by_region(self.entries(), self._node.place.region)
         return (near, far) if near or far else (list(self._seeds), far)
 
     def add_contacts(self, ips: Iterable[str]) -> None:
-        """Ask hosts that may know entries, where nobody else is known."""
+        """Contact hosts that may know entries, if no other entry is known."""
         if not self.roster.known(now=clock_s()):
-            self._send(set(ips), self._heartbeat(alone=True))
+            self._send(set(ips), self._heartbeat(isolated=True))
 
-    def _take(self, beat: Heartbeat, ip: str) -> None:
+    def _apply_heartbeat(self, heartbeat: Heartbeat, ip: str) -> None:
         now = clock_s()
-        is_new = self._learn(beat, now)
-        if beat.word.role == 'agent':
-            self._on_agent(beat, ip, now)
-        if beat.asks_for_reply or is_new:
-            self._send({ip}, self._reply(to_one_alone=beat.is_alone))
-        self._listener.peer_heard(ip, beat.revision, beat.confirmed_s)
-
-    def _on_agent(self, beat: Heartbeat, ip: str, now: float) -> None:
-        """Note an agent that has chosen this entry, or that leaves.
-
-        One that asks has not chosen. What goes wrong when it counts all the
-        same: all agents ask the seeds, and these send heartbeats to a whole
-        fleet, seen as links between regions that are full at rest.
+        is_new = self._update_roster(heartbeat, now)
+        if heartbeat.word.role == 'agent':
+            self._on_agent(heartbeat, ip, now)
+        if heartbeat.asks_for_reply or is_new:
+            self._send({ip}, self._reply(to_isolated=heartbeat.is_alone))
+        self._listener.peer_heard(ip, heartbeat.revision, heartbeat.confirmed_s)
+
+    def _on_agent(self, heartbeat: Heartbeat, ip: str, now: float) -> None:
+        """Record an agent that has chosen this entry, or remove a leaving one.
+
+        An agent that asks for a reply hasn't chosen this entry. All agents ask
+        the seeds; if that counted, the seeds would send heartbeats to the whole
+        fleet, and links between regions would be full even without load.
         """
-        if beat.word.leaving:
+        if heartbeat.word.leaving:
             self._agents.pop(ip, None)
-        elif not beat.asks_for_reply:
+        elif not heartbeat.asks_for_reply:
             self._agents[ip] = now
 
-    def _learn(self, beat: Heartbeat, now: float) -> bool:
-        is_new = self.roster.on_word(beat.word, 0, now=now)
-        for heard in beat.others:
-            self.roster.on_word(heard.word, heard.age_s, now=now)
-        unmet = [
-            sighting.ip
-            for sighting in beat.sightings
-            if self.roster.on_sighting(sighting, now=now)
+    def _update_roster(self, heartbeat: Heartbeat, now: float) -> bool:
+        is_new = self.roster.on_word(heartbeat.word, 0, now=now)
+        for forwarded in heartbeat.others:
+            self.roster.on_word(forwarded.word, forwarded.age_s, now=now)
+        unknown_ips = [
+            last_seen.ip
+            for last_seen in heartbeat.sightings
+            if self.roster.on_sighting(last_seen, now=now)
         ]
-        self._introduce(unmet)
+        self._request_statuses(unknown_ips)
         if is_new:
             self._log.info(
                 'entry met',
-                extra={'step': 'membership', 'peer': beat.word.ip},
+                extra={'step': 'membership', 'peer': heartbeat.word.ip},
             )
         return is_new
 
-    def _introduce(self, unmet: list[str]) -> None:
-        """Ask entries for their words that others have heard of."""
-        if not unmet:
+    def _request_statuses(self, unknown_ips: list[str]) -> None:
+        """Request the status of entries that are known only through others."""
+        if not unknown_ips:
             return
-        asked = unmet[: self._introductions]
-        self._introductions -= len(asked)
-        self._send(set(asked), self._heartbeat(asks=True))
+        asked = unknown_ips[: self._status_requests_left]
+        self._status_requests_left -= len(asked)
+        self._send(set(asked), self._heartbeat(asks_for_reply=True))
 
-    def _others(self) -> tuple[list[str], list[str]]:
-        """List the other entries: of the own region, and of others."""
+    def _other_entries(self) -> tuple[list[str], list[str]]:
+        """List the other entries: own region, other regions."""
         known = self.roster.known(now=clock_s())
         return split_by_region(known, self._node.place.region)
 
     def _contacts(self) -> list[str]:
-        """List the entries that hear this agent."""
+        """List the entries to which this agent sends heartbeats."""
         return contacts(self._node.ip, self.entries(), self._node.place.region)
 
-    def _heard_agents(self) -> list[str]:
+    def _live_agents(self) -> list[str]:
         now = clock_s()
         self._agents = {
-            ip: at
-            for ip, at in self._agents.items()
-            if now - at <= AGENT_LIVE_S
+            ip: at for ip, at in self._agents.items() if now - at <= AGENT_TTL_S
         }
         return list(self._agents)
 
-    def _send(self, targets: set[str], beat: Heartbeat) -> None:
+    def _send(self, targets: set[str], heartbeat: Heartbeat) -> None:
         targets.discard(self._node.ip if self._is_entry else '')
         if targets:
-            self._send_bytes(encode_message(beat), targets)
+            self._send_bytes(encode_message(heartbeat), targets)
 
     def _send_bytes(self, payload: bytes, targets: Iterable[str]) -> None:
         transport = self._transport
@@ -342,39 +348,41 @@
             transport.sendto(payload, (ip, self._node.gossip_port))
 
     def _heartbeat(
-        self, *, alone: bool = False, asks: bool = False
+        self, *, isolated: bool = False, asks_for_reply: bool = False
     ) -> Heartbeat:
         return Heartbeat(
             word=self.roster.own,
             revision=self._revision,
             confirmed_s=min(clock_s() - self._confirmed_at, 1.0e9),
-            asks_for_reply=asks or alone,
-            is_alone=alone,
+            asks_for_reply=asks_for_reply or isolated,
+            is_alone=isolated,
         )
 
-    def _reply(self, *, to_one_alone: bool) -> Heartbeat:
-        beat = self._heartbeat()
-        if not to_one_alone:
-            return beat
+    def _reply(self, *, to_isolated: bool) -> Heartbeat:
+        heartbeat = self._heartbeat()
+        if not to_isolated:
+            return heartbeat
         others = self.roster.to_pass_on(self._random, now=clock_s())
-        return replace(beat, others=others)
+        return replace(heartbeat, others=others)
 
-    def _with_sightings(
-        self, beat: Heartbeat, region: str | None = None
+    def _with_last_seen(
+        self, heartbeat: Heartbeat, region: str | None = None
     ) -> Heartbeat:
-        """Add how lately others were heard of, all or those of a region."""
+        """Add last-seen entries, of all processes or of one region."""
         sightings = self.roster.sightings(
             self._random, now=clock_s(), region=region
         )
-        return replace(beat, sightings=sightings)
+        return replace(heartbeat, sightings=sightings)
 
-    async def _beat_for_ever(self) -> None:
+    async def _schedule_heartbeats(self) -> None:
         while True:
-            self.post(BeatDue())
-            await asyncio.sleep(BEAT_S * self._random.uniform(0.9, 1.1))
+            self.post(HeartbeatDue())
+            await asyncio.sleep(
+                HEARTBEAT_INTERVAL_S * self._random.uniform(0.9, 1.1)
+            )
 
 
-def _own_word(runtime: Runtime, node: Node) -> MemberWord:
+def _own_status(runtime: Runtime, node: Node) -> MemberWord:
     return MemberWord(
         ip=node.ip,
         role='entry' if node.role == 'entry' else 'agent',
--- a/packages/daemon/src/crowrudder_daemon/fleet/_records.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_records.py
@@ -1,4 +1,4 @@
-"""Published records on their way between platform, processes and view."""
+"""Published records in transit between platform, processes and view."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @frozen
 class PeerAhead:
-    """A process has records that this one lacks."""
+    """A peer has a higher revision of the records than this process."""
 
     address: str
     revision: int
@@ -28,13 +28,14 @@
 
 @frozen
 class RecordsCame:
-    """Changes, or a whole list, from the platform or a peer.
-
-    ``as_of`` is the time on the own clock of which their ages are; one that
-    is to come stands for when they are taken. It is never after the moment at
-    which the ages were right: what goes wrong otherwise is that the way of an
-    answer, or the wait for this process, makes a version younger than it is,
-    and the one before it is used for so much longer than its time.
+    """Changes, or a complete list, from the platform or a peer.
+
+    ``as_of`` is the time on the own clock at which the ages were right; a
+    future time stands for the moment at which the records are applied. It must
+    never be later than the time at which the ages were right. Otherwise the
+    transit time of the answer, or its wait in this process, would make a
+    version appear younger than it is, and the previous version would be used
+    for that much longer than allowed.
     """
 
     items: tuple[PublishedItem, ...]
@@ -43,10 +44,10 @@
     teller: str
     as_of: float = math.inf
 
-    def older_by_wait(
+    def add_elapsed_time(
         self, items: list[PublishedItem], now: float
     ) -> list[PublishedItem]:
-        """Add what has passed since ``as_of`` to the ages that are known."""
+        """Add the time since ``as_of`` to the ages that are known."""
         waited_s = max(now - self.as_of, 0)
         return [
             evolve(item, age_s=item.age_s + waited_s)
@@ -56,7 +57,7 @@
         ]
 
     def age_by(self, key: str, age_s: float | None) -> str:
-        """Give where the age of a record comes from; see `VersionEnds`."""
+        """Return the source of a record's age; see `VersionEnds`."""
         if age_s is None:
             return 'nobody'
         told = any(item.key == key and item.age_s >= 0 for item in self.items)
@@ -64,60 +65,60 @@
 
 
 @frozen
-class AgesCame:
+class AgesReceived:
     """Ages of records from a peer; ``as_of`` as for `RecordsCame`."""
 
     ages: tuple[RecordAge, ...]
     teller: str
     as_of: float = math.inf
 
-    def older_by_wait(self, now: float) -> list[RecordAge]:
-        """Add what has passed since ``as_of`` to the ages."""
+    def add_elapsed_time(self, now: float) -> list[RecordAge]:
+        """Add the time since ``as_of`` to the ages."""
         waited_s = max(now - self.as_of, 0)
         return [
             replace(told, age_s=told.age_s + waited_s) for told in self.ages
         ]
 
     def age_by(self, _key: str, _age_s: float | None) -> str:
-        """Give where the age of a record comes from; see `VersionEnds`."""
+        """Return the source of a record's age; see `VersionEnds`."""
         return 'teller'
 
 
-def read_records(
+def platform_records(
     listing: Listing, *, is_whole: bool, as_of: float = math.inf
 ) -> RecordsCame:
-    """Take records from the platform, deflated for all other processes."""
+    """Return records of the platform, deflated for all other processes."""
     items = tuple(deflated(item) for item in listing.items)
     return RecordsCame(items, listing.through, is_whole, 'platform', as_of)
 
 
-def told_records(
+def peer_records(
     changes: Changes, teller: str, *, as_of: float = math.inf
 ) -> RecordsCame:
-    """Take records from another process as they came."""
+    """Return records of another process, unchanged."""
     return RecordsCame(
         changes.items, changes.through, changes.is_whole, teller, as_of
     )
 
 
-def plain_changes(changes: Changes) -> Changes:
-    """Give changes for a process that can't inflate them.
+def inflate_changes(changes: Changes) -> Changes:
+    """Return changes for a process that can't inflate them.
 
-    What goes wrong without: while releases run side by side, a process of the
-    older one refuses the configuration, and one that starts has none at all.
+    While two releases run side by side, a process of the older one would
+    otherwise refuse the configuration, and one that starts would have none.
     """
-    return evolve(changes, items=tuple(map(_plain, changes.items)))
+    return evolve(changes, items=tuple(map(_inflate_if_valid, changes.items)))
 
 
-def decoded_record(
+def decode_item(
     source: PublishedSource, item: PublishedItem
 ) -> Published | None:
-    """Decode a record that stands; None for one that means nothing here.
+    """Decode a current record; return None for one of no use here.
 
     Raises
     ------
     BadRecordError
-        When it can't be read.
+        If the record can't be decoded.
     """
     try:
         payload = inflated(item).payload
@@ -126,9 +127,9 @@
     return source.decode(item.key, payload or b'')
 
 
-def _plain(item: PublishedItem) -> PublishedItem:
+def _inflate_if_valid(item: PublishedItem) -> PublishedItem:
     try:
         return inflated(item)
     except MalformedMessageError:
-        # It is refused there as it was here.
+        # The receiver refuses the record, as this process did.
         return item
--- a/packages/daemon/src/crowrudder_daemon/fleet/_records_service.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_records_service.py
@@ -1,4 +1,4 @@
-"""Answer other processes that ask for published records."""
+"""The service that sends published records to other processes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from crowrudder_daemon._clock import clock_s
-from crowrudder_daemon.fleet._records import plain_changes
+from crowrudder_daemon.fleet._records import inflate_changes
 from crowrudder_model.messages import Ages, AgesAsk, Changes, ChangesAsk
 from crowrudder_model.rpc import AGES, CHANGES
 
@@ -18,13 +18,13 @@
 
 @frozen
 class RecordsService:
-    """Gives what the catalog holds; nothing of it changes by a question."""
+    """Returns records of the catalog; a request changes nothing in it."""
 
     _catalog: Catalog
     _reading: StoreReading
 
     def serve(self, server: PeerServer) -> None:
-        """Take questions for changes, and for ages alone."""
+        """Register the handlers of requests for changes, and for ages alone."""
         server.add(CHANGES, self._on_changes_ask)
         server.add(AGES, self._on_ages_ask)
 
@@ -37,7 +37,7 @@
             now=now,
             confirmed_s=self._reading.confirmed_s(now),
         )
-        return changes if ask.takes_deflated else plain_changes(changes)
+        return changes if ask.takes_deflated else inflate_changes(changes)
 
     async def _on_ages_ask(self, _ask: AgesAsk, _context: object) -> Ages:
         return Ages(self._catalog.ages(now=clock_s()))
--- a/packages/daemon/src/crowrudder_daemon/fleet/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_role.py
@@ -1,4 +1,4 @@
-"""What the roles of a fleet have in common."""
+"""The base class of a fleet's roles."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FleetRole:
-    """Peers, published records and calls between processes.
+    """Owns the peers, the published records and the calls of a process.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     """
 
     settings: SettingsSource | None = None
-    """Where the process's settings stand; None where they never change."""
+    """The source of the process's settings; None if they never change."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         )
 
     async def begin(self) -> None:
-        """Listen for other processes and begin to learn."""
+        """Listen for other processes and start to receive records."""
         self.catalog.serve(self.rpc)
         await self.rpc.start()
         await self.peers.open()
@@ -71,7 +71,7 @@
             self.runtime.spawn(watch.watch(), step='watch settings')
 
     def on_settings(self, node: Node) -> None:
-        """Follow settings that changed."""
+        """Apply changed settings."""
         self.peers.set_seeds(node.seeds)
 
     async def stop(self) -> None:
@@ -82,32 +82,32 @@
         await self.client.close()
 
     def members(self) -> tuple[Member, ...]:
-        """List nothing: a fleet's processes have no published list."""
+        """Return nothing: a fleet's processes have no published member list."""
         return ()
 
     def bundle(self) -> bytes:
-        """Give nothing: a fleet's configuration isn't one bundle."""
+        """Return nothing: a fleet's configuration isn't one bundle."""
         return b''
 
     def on_change(self) -> None:
-        """Follow the published records."""
+        """Apply changes of the published records."""
         raise NotImplementedError
 
     def peer_heard(self, ip: str, revision: int, confirmed_s: float) -> None:
-        """Pass a peer's word on the records on."""
+        """Forward a peer's revision and confirmation age to the catalog."""
         self.catalog.peer_heard(ip, revision, confirmed_s)
 
     def load_heard(self, load: EngineLoad) -> None:
-        """Take no interest in engines."""
+        """Ignore load reports on engines."""
 
     def loads_heard(self, batch: LoadBatch) -> None:
-        """Take no interest in engines."""
+        """Ignore load reports on engines."""
 
     def chunks_heard(self, ip: str, news: ChunkNews) -> None:
-        """Take no interest in chunks."""
+        """Ignore inventories of chunks."""
 
     def suspects_heard(self, ip: str, news: SuspectNews) -> None:
-        """Take no interest in requests."""
+        """Ignore reports on suspected requests."""
 
     def limits_heard(self, ip: str, news: LimitNews) -> None:
-        """Take no interest in limits."""
+        """Ignore reports on upstreams' limits."""
--- a/packages/daemon/src/crowrudder_daemon/fleet/_settings.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process whose node was described by an adapter."""
+"""Settings of a process whose `Node` was read by an adapter."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     from crowrudder_model.fleet import Node
 
 EXIT_MARGIN_S = 1.0
-"""Left between the end of a drain and the kill, for closing sockets."""
+"""Seconds between the end of a drain and the kill, for closing sockets."""
 
 
 def settings_of(node: Node, tuning: Tuning) -> Settings:
-    """Give the settings that the process's frame (admin, logs, drain) wants."""
+    """Return the settings for admin server, logs and drain of the process."""
     return Settings(
         process=ProcessSection(
             role=node.role,
--- a/packages/daemon/src/crowrudder_daemon/fleet/_settings_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_settings_watch.py
@@ -1,4 +1,4 @@
-"""Read a process's settings again when they may have changed."""
+"""Reload a process's settings when they may have changed."""
 
 from __future__ import annotations
 
@@ -16,42 +16,42 @@
 
     from crowrudder_daemon.process import Runtime
 
-LOOK_S = 2.0
-"""Between two looks at the file: it may change without a signal, and what it
-says is in force within a few seconds."""
+CHECK_INTERVAL_S = 2.0
+"""Seconds between two checks of the file. It may change without a signal, and
+its settings are to take effect within a few seconds."""
 
-AT_ONCE = frozenset(('seeds',))
-"""What is followed while a process runs; the rest it takes at its start."""
+RELOADED_FIELDS = frozenset(('seeds',))
+"""Fields that are applied while a process runs; others at its next start."""
 
 
 class SettingsSource(Protocol):
-    """Where a process's settings stand."""
+    """The source of a process's settings."""
 
     def read(self) -> bytes:
-        """Read them as they are now.
+        """Read the current settings.
 
         Raises
         ------
         CrowrudderError
-            When they can't be read.
+            If they can't be read.
         """
 
     def decode(self, payload: bytes) -> Node:
-        """Decode them.
+        """Decode the settings.
 
         Raises
         ------
         CrowrudderError
-            When they aren't the settings of a process.
+            If they aren't the settings of a process.
         """
 
 
 class SettingsWatch:
-    """Owns what was read last, and tells of changes.
+    """Owns the settings that were read last, and reports changes.
 
-    What goes wrong without it: seeds are replaced, a process that lost all its
-    peers asks the old ones for ever. Bad settings change nothing: those read
-    before stay in force, and the log says what is wrong.
+    Without it, a process that has lost all its peers would contact seeds that
+    have been replaced for ever. Invalid settings change nothing: the previous
+    ones stay in force, and the reason is logged.
     """
 
     def __init__(
@@ -68,17 +68,17 @@
         self._payload: bytes | None = None
 
     async def watch(self) -> None:
-        """Look after a signal, and now and then."""
-        asked = self._runtime.reload_asked
+        """Check the settings after each signal, and periodically."""
+        reload_requested = self._runtime.reload_asked
         while True:
-            self.look()
+            self.check_once()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK_S):
-                    await asked.wait()
-            asked.clear()
+                async with asyncio.timeout(CHECK_INTERVAL_S):
+                    await reload_requested.wait()
+            reload_requested.clear()
 
-    def look(self) -> None:
-        """Take what changed."""
+    def check_once(self) -> None:
+        """Read the settings and apply changes."""
         try:
             payload = self._source.read()
             if payload == self._payload:
@@ -91,9 +91,9 @@
                 extra={'step': 'reload', 'reason': str(exc)},
             )
             return
-        self._take(node)
+        self._apply_changes(node)
 
-    def _take(self, node: Node) -> None:
+    def _apply_changes(self, node: Node) -> None:
         changed = {
             each.name
             for each in fields(Node)
@@ -106,8 +106,8 @@
             'settings read again',
             extra={
                 'step': 'reload',
-                'in_force': sorted(changed & AT_ONCE),
-                'from_next_start': sorted(changed - AT_ONCE),
+                'in_force': sorted(changed & RELOADED_FIELDS),
+                'from_next_start': sorted(changed - RELOADED_FIELDS),
             },
         )
         self._on_node(node)
--- a/packages/daemon/src/crowrudder_daemon/fleet/_tuning.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_tuning.py
@@ -1,4 +1,4 @@
-"""The product's own settings in a fleet: one INI file, all keys optional."""
+"""The product's own settings in a fleet: an INI file, all keys optional."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 
 @frozen(kw_only=True)
 class Tuning:
-    """What the fleet's operators may tune; each default has its reason.
+    """Settings that the fleet's operators may tune.
 
     Parameters
     ----------
     log_level
-        Lines below it aren't written.
+        Lowest level that is logged.
     log_lines_per_s
-        Most lines a second in the long run; the number left out is told.
-        Sixteen requests a second with three lines each fit five times over.
+        Maximum average rate of log lines; the number of dropped lines is
+        logged. The default allows five times the lines of 16 requests a second
+        with three lines each.
     answer_ttl_s
-        How long callers are told to keep an answer on which entry to use,
-        seconds. Short, as a dead entry costs a caller a failed connection.
+        Seconds for which callers may cache the list of entries. Short, as a
+        dead entry in the list costs a caller a failed connection.
     upload_share
-        Part of the host's link that chunks of weights may take while answers
-        run. The rest carries the answers: a stream's event waits for at most
-        one block of a chunk.
+        Share of the host's link that chunks of weights may use while answers
+        are being sent. The rest is left to the answers: an event of a stream
+        waits for at most one block of a chunk.
     uploads_at_once
-        Chunks sent at the same time.
+        Maximum number of chunks sent concurrently.
     origin_copies
-        Copies of a version that a fleet reads from the origin.
+        Number of copies of a version that a fleet reads from the origin.
     """
 
     log_level: str = key(
@@ -48,12 +49,12 @@
 
 
 def read_tuning(path: str) -> Tuning:
-    """Read the file; an empty path gives the defaults.
+    """Read the file; return the defaults for an empty path.
 
     Raises
     ------
     SettingsError
-        With every fault of the file.
+        If the file is invalid; the error has every fault of the file.
     """
     if not path:
         return Tuning()
@@ -63,10 +64,10 @@
     except (OSError, ValueError, configparser.Error) as exc:
         fault = Fault(path, '', '', str(exc), 'a readable INI file, UTF-8')
         raise SettingsError((fault,)) from exc
-    return _checked(path, parser)
+    return _validated(path, parser)
 
 
-def _checked(path: str, parser: configparser.RawConfigParser) -> Tuning:
+def _validated(path: str, parser: configparser.RawConfigParser) -> Tuning:
     faults = [
         Fault(path, name, '', f'[{name}]', f'only [{SECTION}]')
         for name in parser.sections()
@@ -79,7 +80,7 @@
         row = known.get(name)
         allowed = row.kind.allowed if row else f'only {", ".join(known)}'
         try:
-            values[name] = row.kind.parse(text) if row else _refuse(text)
+            values[name] = row.kind.parse(text) if row else _reject(text)
         except ValueError:
             faults.append(Fault(path, SECTION, name, text, allowed))
     if faults:
@@ -87,10 +88,10 @@
     return Tuning(**values)  # type: ignore[arg-type]
 
 
-def _refuse(text: str) -> object:
+def _reject(text: str) -> object:
     raise ValueError(text)
 
 
 def tuning_keys() -> tuple[str, ...]:
-    """List the keys, for the reference page."""
+    """Return the keys, for the reference page."""
     return tuple(attribute.name for attribute in fields(Tuning))
--- a/packages/daemon/src/crowrudder_daemon/fleet/_version_ends.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_version_ends.py
@@ -1,4 +1,4 @@
-"""What a process believes of the ends of versions, told when it changes."""
+"""Logs the time at which a version ends, whenever this process changes it."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
     from crowrudder_core.catalog import Releases
     from crowrudder_model.fleet import NamedVersion
 
-SAME_S = 0.001
-"""Ends closer than this, in seconds, are the same one: they are worked out
-anew from ages, and the log shows milliseconds."""
+END_TOLERANCE_S = 0.001
+"""Ends that differ by less than this, in seconds, are equal: they are computed
+from ages each time, and the log shows milliseconds."""
 
 
 @frozen
 class VersionEnds:
-    """Tells when the versions before a named one end by what is believed.
+    """Logs the computed end of the versions before an announced one.
 
-    What can't be told without it: a request begins on a version after its end,
-    and nothing shows which end the entry went by, since the age of a record as
-    it came isn't what was concluded from it.
+    If a request starts on a version after its end, these lines show which end
+    the entry had computed. The age of the received record doesn't show it, as
+    the end isn't derived from that age alone.
     """
 
     _log: Logger
     _releases: Releases
 
-    def before(self, named: NamedVersion) -> float:
-        """Give from when nothing may begin on what was named before."""
+    def previous_end(self, named: NamedVersion) -> float:
+        """Return the time from which nothing may start on earlier versions."""
         return self._releases.ends_at(named.model, named.version - 1)
 
-    def tell(
+    def log_change(
         self,
         named: NamedVersion,
         *,
@@ -43,13 +43,14 @@
         age_by: str,
         now: float,
     ) -> None:
-        """Write a line if the end isn't what it was, ``ended_at``.
+        """Log the end of the earlier versions if it was ``ended_at`` before.
 
-        ``age_by`` tells where the age comes from: ``teller``, ``guess`` where
-        the oldest one counts that a change can have, ``nobody`` where the
-        version counts as old as one that a new process finds.
+        ``age_by`` is the source of the age: ``teller`` for the sender of the
+        record, ``guess`` for the highest age that the change can have,
+        ``nobody`` if it is unknown: the version then counts as old as one that
+        a new process finds in its first list.
         """
-        ends_at = self.before(named)
+        ends_at = self.previous_end(named)
         release = self._releases.newest(named.model)
         if release is None or _is_same(ends_at, ended_at):
             return
@@ -75,4 +76,4 @@
 
 
 def _is_same(one: float, other: float) -> bool:
-    return math.isclose(one, other, rel_tol=0, abs_tol=SAME_S)
+    return math.isclose(one, other, rel_tol=0, abs_tol=END_TOLERANCE_S)
--- a/packages/daemon/src/crowrudder_daemon/fleet/_watch_times.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_watch_times.py
@@ -1,4 +1,4 @@
-"""When what the platform's watch tells was published, by this process."""
+"""Bounds the publication time of changes that the platform's watch returns."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @frozen
 class Heard:
-    """When the platform had been heard before an answer, and was back."""
+    """Times of the last confirmation before an answer, and of the recovery."""
 
     confirmed_at: float
     returned_at: float
 
 
 class WatchTimes:
-    """Puts calls to the platform and the own lateness together.
+    """Combines the times of platform calls with delays of the event loop.
 
     Parameters
     ----------
     every_s
-        How often `tick` is called.
+        Seconds between two calls of `tick`.
     """
 
     def __init__(self, every_s: float) -> None:
@@ -30,21 +30,21 @@
         self._ages = WatchAges()
 
     def tick(self) -> None:
-        """Note that the event loop gets to its timers."""
+        """Record that the event loop runs its timers."""
         self._punctuality.on_tick(clock_s())
 
     def on_rest(self) -> None:
-        """Note that the watch is left to others."""
+        """Record that this process doesn't watch the platform."""
         self._ages.on_rest()
 
     def on_listed(self, asked_at: float) -> None:
-        """Note a list that was asked for then, and came."""
+        """Record a complete list that was requested at ``asked_at``."""
         self._ages.on_listed(asked_at)
 
     def published_since(
         self, asked_at: float, heard: Heard, *, has_changes: bool
     ) -> float:
-        """Take a watch's answer; give since when its changes can be there."""
+        """Record a watch's answer; return the earliest time of its changes."""
         now = clock_s()
         is_punctual = self._punctuality.is_given(now)
         since = self._ages.published_since(
--- a/packages/daemon/src/crowrudder_daemon/fleet/ports.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/ports.py
@@ -1,4 +1,4 @@
-"""What an adapter to an outside system offers, in the product's own terms."""
+"""Interfaces that an adapter to an external system implements."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PlatformError(UpstreamError):
-    """The store of published records gave no proper answer."""
+    """The store of published records gave no valid answer."""
 
 
 class HistoryGoneError(PlatformError):
@@ -25,15 +25,15 @@
 
 
 class BadRecordError(CrowrudderError):
-    """A published record can't be read.
+    """A published record can't be decoded.
 
-    The configuration and the versions before stay in force; an upstream whose
-    record can't be read is used no more.
+    The previous configuration and versions stay in force; an upstream whose
+    record can't be decoded is no longer used.
     """
 
 
 class BadCallError(Exception):
-    """A caller's request that can't be understood; nothing of it ran."""
+    """A caller's request is invalid; nothing of it ran."""
 
     def __init__(self, message: str, *, status: int = 400) -> None:
         super().__init__(message)
@@ -42,14 +42,14 @@
 
 @frozen(kw_only=True)
 class Listing:
-    """Records as of a revision."""
+    """Records, or changes, up to the revision ``through``."""
 
     items: tuple[PublishedItem, ...]
     through: int
 
 
 class PublishedSource(Protocol):
-    """The store of published records; it can only be read."""
+    """Read access to the store of published records."""
 
     async def list_all(self) -> Listing:
         """Read all records.
@@ -57,37 +57,37 @@
         Raises
         ------
         PlatformError
-            When no whole list came.
+            If no complete list was received.
         """
 
     async def watch(self, after: int, *, wait_s: float) -> Listing:
-        """Wait for changes after a revision; an empty listing for none.
+        """Wait for changes after a revision; return an empty listing for none.
 
         Raises
         ------
         HistoryGoneError
-            When the changes are no longer there.
+            If the store no longer has the changes.
         PlatformError
-            When no proper answer came.
+            If no valid answer was received.
         """
 
     def decode(self, key: str, payload: bytes) -> Published | None:
-        """Decode a record; None for one that means nothing here.
+        """Decode a record; return None for one of no use here.
 
         Raises
         ------
         BadRecordError
-            When it can't be read.
+            If it can't be decoded.
         """
 
 
 @frozen(kw_only=True)
 class Call:
-    """A caller's request, as far as the entry decides by it.
+    """The parts of a caller's request that the entry's decisions use.
 
-    ``wait_s`` is how long the caller will wait, None where it doesn't say.
-    ``resume_after`` is the last event that it has, empty for none.
-    ``headers`` are passed on unchanged.
+    ``wait_s`` is the caller's timeout, None if it states none.
+    ``resume_after`` is the last event that it has received, empty for none.
+    ``headers`` are forwarded unchanged.
     """
 
     request_id: str
@@ -104,18 +104,19 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """Return the target without its query."""
         return self.target.partition('?')[0]
 
 
 @frozen(kw_only=True)
 class SendTerms:
-    """What the entry adds to a request for an upstream.
+    """The values that the entry adds to a request for an upstream.
 
-    ``upstream_id`` and ``weights`` are what the upstream has to be and have;
-    0 for no version. ``left_s`` is how long its caller still waits.
-    ``urgency`` is 0 for the most urgent, None where it isn't said. ``path``
-    is empty where the upstream runs all layers, else it is the first on it.
+    ``upstream_id`` and ``weights`` are the id that the upstream must have and
+    the version that it must hold; 0 for no version. ``left_s`` is the rest of
+    the caller's timeout. ``urgency`` is 0 for the most urgent, None if it isn't
+    stated. ``path`` is the pipeline, of which the upstream is the first stage;
+    it is empty if the upstream runs all layers.
     """
 
     upstream_id: str
@@ -129,12 +130,12 @@
 
 @frozen(kw_only=True)
 class AnswerMark:
-    """What an upstream's answer says of itself.
+    """Metadata in the head of an upstream's answer.
 
-    ``is_vouched`` is set where the upstream vouches for the answer,
-    ``not_run`` where it says that it didn't run the request. ``limit_per_s``
-    is how many requests a second it takes from all entries together, None
-    where it names no limit.
+    ``is_vouched`` is set if the answer has the upstream's seal of authenticity,
+    ``not_run`` if the upstream states that it didn't run the request.
+    ``limit_per_s`` is the rate of requests a second that it accepts from all
+    entries together, None if it states no limit.
     """
 
     request_id: str
@@ -145,7 +146,7 @@
 
 
 class CallersDialect(Protocol):
-    """Requests and answers between callers, entries and upstreams."""
+    """Translates requests and answers between callers, entries and upstreams."""
 
     ready_path: str
     directory_path: str
@@ -162,7 +163,7 @@
         Raises
         ------
         BadCallError
-            When it can't be understood.
+            If the request is invalid.
         """
 
     def request_for(
@@ -171,31 +172,31 @@
         body: bytes,
         terms: SendTerms,
     ) -> WireRequest:
-        """Give the request as the upstream gets it."""
+        """Return the request that is sent to the upstream."""
 
     def mark_of(self, head: WireHead) -> AnswerMark:
-        """Read what an answer says of itself."""
+        """Read the metadata of an answer from its head."""
 
     def passed_back(self, head: WireHead) -> list[tuple[str, str]]:
-        """Give the headers of an upstream's answer that its caller gets."""
+        """Return the headers of an upstream's answer to forward to the caller."""
 
     def own_headers(self, call: Call | None) -> list[tuple[str, str]]:
-        """Give the headers by which an own answer is known to be for a call."""
+        """Return the headers that link the entry's own answer to a call."""
 
     def place_asked(self, arguments: Mapping[str, str]) -> tuple[str, str]:
-        """Read failure domain and region of a caller that looks for entries."""
+        """Read failure domain and region from a caller's directory request."""
 
     def directory_answer(self, addresses: list[str], ttl_s: float) -> bytes:
-        """Write the answer to it."""
+        """Encode the answer to a directory request."""
 
 
 @frozen(kw_only=True)
 class EngineReading:
-    """What an engine says of itself.
+    """The state that an engine reports.
 
     ``weights`` is the version of which it holds ``layers``, 0 for none;
-    ``is_busy`` is set while an order is being carried out. ``started_ms`` is
-    its start in milliseconds since 1970, 0 where it isn't said.
+    ``is_busy`` is set while an order is being executed. ``started_ms`` is its
+    start time in Unix milliseconds, 0 if it isn't reported.
     """
 
     model: str = ''
@@ -209,7 +210,7 @@
     layers: LayerRange = NO_LAYERS
 
     def whole(self, layers: int) -> int:
-        """Give the version that it holds whole, of so many layers; or 0."""
+        """Return the version if it holds all of its ``layers``, else 0."""
         return self.weights if self.layers.is_whole(layers) else 0
 
 
@@ -217,28 +218,28 @@
     """The engine beside an agent."""
 
     async def read(self) -> EngineReading:
-        """Read its state.
+        """Read the engine's state.
 
         Raises
         ------
         UpstreamError
-            When it gave no proper answer.
+            If the engine gave no valid answer.
         """
 
     async def put_chunk(self, model: str, index: int, payload: bytes) -> None:
         """Stage a chunk."""
 
     async def staged(self, model: str) -> frozenset[int]:
-        """List the chunks that are staged, of whatever version.
+        """List the indexes of the staged chunks, of any version.
 
         Raises
         ------
         UpstreamError
-            When it gave no proper answer.
+            If the engine gave no valid answer.
         """
 
     async def get_chunk(self, model: str, index: int) -> bytes | None:
-        """Read a staged chunk; None where there is none."""
+        """Read a staged chunk; return None if it isn't staged."""
 
     async def load(
         self,
@@ -248,10 +249,11 @@
         may_cut_off: bool,
         layers: LayerRange | None = None,
     ) -> bool:
-        """Order the staged version; true when taken or already in effect.
+        """Order the engine to load the staged version.
 
-        With ``may_cut_off`` what still runs is cut off, else it ends first.
-        ``layers`` are those to hold, None for all of them.
+        With ``may_cut_off`` running requests are cancelled, else they end
+        first. ``layers`` are those to hold, None for all of them. Return whether
+        the order was accepted or is in effect already.
         """
 
 
@@ -285,4 +287,4 @@
         *,
         on_bytes: Callable[[int], None] | None = None,
     ) -> bytes:
-        """Read a chunk of a version; told of bytes as they come."""
+        """Read a chunk of a version; call ``on_bytes`` as bytes arrive."""
--- a/tests/fleet/test_messages_by_size.py
+++ b/tests/fleet/test_messages_by_size.py
@@ -12,9 +12,9 @@
 from crowrudder_core.membership import CONTACTS
 from crowrudder_daemon.fleet import _peers_task
 from crowrudder_daemon.fleet._peers_task import (
-    BEAT_S,
-    BeatDue,
-    DatagramCame,
+    HEARTBEAT_INTERVAL_S,
+    DatagramReceived,
+    HeartbeatDue,
     PeersTask,
 )
 from crowrudder_model import decode_datagram
@@ -101,13 +101,15 @@
             ip, target, payload = self._waiting.popleft()
             self.sent[ip] += 1
             self.heard[target] += 1
-            self.tasks[target].on_datagram_came(DatagramCame(payload, ip))
+            self.tasks[target].on_datagram_received(
+                DatagramReceived(payload, ip)
+            )
 
     def beat(self):
         for task in self.tasks.values():
-            task.on_beat_due(BeatDue())
+            task.on_heartbeat_due(HeartbeatDue())
         self.deliver()
-        self.now += BEAT_S
+        self.now += HEARTBEAT_INTERVAL_S
 
     def most(self, counts, role):
         """Give the most datagrams of one process of a role, for each beat."""
@@ -177,9 +179,9 @@
         net = net_of(30)
         agent, beat = self.agent_beat(net, **more)
         entry = net.tasks['10.0.0.0']
-        entry._take(beat, agent)
+        entry._apply_heartbeat(beat, agent)
         net._waiting.clear()
-        entry.on_beat_due(BeatDue())
+        entry.on_heartbeat_due(HeartbeatDue())
         fed = {
             target
             for _, target, payload in net._waiting
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from crowrudder_daemon.fleet._peers_task import BeatDue, PeersTask
+from crowrudder_daemon.fleet._peers_task import HeartbeatDue, PeersTask
 from crowrudder_daemon.metrics import Metrics
 from crowrudder_model import decode_datagram
 from crowrudder_model.fleet import Node, NodePlace
@@ -81,7 +81,7 @@
     task._transport = wire
     for number in range(1, entries + 1):
         beat = Heartbeat(word=entry_word(number))
-        task._take(beat, entry_word(number).ip)
+        task._apply_heartbeat(beat, entry_word(number).ip)
     wire.sent.clear()
     return task, wire
 
@@ -99,7 +99,7 @@
     @pytest.mark.parametrize('entries', [20, 43, 240])
     def test_a_beat_of_an_entry(self, entries):
         task, wire = task_of('entry', entries)
-        task.on_beat_due(BeatDue())
+        task.on_heartbeat_due(HeartbeatDue())
         assert len(wire.sent) <= MOST_FOR_A_BEAT
 
     @pytest.mark.parametrize('entries', [20, 43, 240])
@@ -112,7 +112,7 @@
     @pytest.mark.parametrize('entries', [20, 43, 240])
     def test_a_beat_of_an_agent(self, entries):
         task, wire = task_of('agent', entries)
-        task.on_beat_due(BeatDue())
+        task.on_heartbeat_due(HeartbeatDue())
         assert 0 < len(wire.sent) <= MOST_FOR_A_BEAT
 
     def test_leaving_is_told_to_everyone(self):
@@ -122,7 +122,7 @@
 
     def test_a_small_fleet_hears_everything(self):
         task, wire = task_of('entry', 7)
-        task.on_beat_due(BeatDue())
+        task.on_heartbeat_due(HeartbeatDue())
         assert len({ip for ip, _ in wire.sent}) == 7
 
 
@@ -133,7 +133,7 @@
         other.roster.on_word(entry_word(9), 0, now=1.0e9)
         sightings = other.roster.sightings(task._random, now=1.0e9)
         beat = Heartbeat(word=entry_word(1), sightings=sightings)
-        task._take(beat, entry_word(1).ip)
+        task._apply_heartbeat(beat, entry_word(1).ip)
         ((ip, asked),) = wire.sent
         assert ip == entry_word(9).ip
         assert asked.asks_for_reply
@@ -142,5 +142,5 @@
         task, wire = task_of('entry', 20)
         newcomer = entry_word(99)
         beat = Heartbeat(word=newcomer, asks_for_reply=True, is_alone=True)
-        task._take(beat, newcomer.ip)
+        task._apply_heartbeat(beat, newcomer.ip)
         assert wire.sent[0][1].others
--- a/tests/fleet/test_record_bytes.py
+++ b/tests/fleet/test_record_bytes.py
@@ -16,7 +16,7 @@
 from crowrudder_daemon.fleet._records import (
     PeerAhead,
     RecordsCame,
-    read_records,
+    platform_records,
 )
 from crowrudder_daemon.http import ConnectionPool
 from crowrudder_daemon.rpc import PeerClient
@@ -89,7 +89,7 @@
         """Take all records from the platform, as at a start."""
         source = PlatformStore(world.store_address, ConnectionPool())
         listing = await source.list_all()
-        self.on_records_came(read_records(listing, is_whole=True))
+        self.on_records_came(platform_records(listing, is_whole=True))
 
     def start(self) -> None:
         """Work on messages, without reading the platform."""
@@ -236,7 +236,7 @@
                 task.source.decoded.clear()
                 source = PlatformStore(world.store_address, ConnectionPool())
                 listing = await source.list_all()
-                task.on_records_came(read_records(listing, is_whole=True))
+                task.on_records_came(platform_records(listing, is_whole=True))
                 task.on_records_came(
                     RecordsCame(
                         listing.items, listing.through, True, 'platform'
@@ -272,7 +272,7 @@
                 known = task.catalog.items()
                 revision = task.catalog.revision
                 assert task.catalog.age_s(VERSION_KEY, now=clock_s()) is None
-                task._ask_for_ages()
+                task._request_ages()
                 await world.until(
                     lambda: (
                         task.catalog.age_s(VERSION_KEY, now=clock_s())
--- a/tests/fleet/test_settings_watch.py
+++ b/tests/fleet/test_settings_watch.py
@@ -53,7 +53,7 @@
     def test_what_is_the_same_is_neither_decoded_again_nor_told(self, watched):
         watch, file, told, _ = watched
         for _ in range(3):
-            watch.look()
+            watch.check_once()
         assert file.decoded == 1
         assert told == []
 
@@ -65,10 +65,10 @@
         a file that was read at the start only.
         """
         watch, file, told, _ = watched
-        watch.look()
+        watch.check_once()
         changed = evolve(NODE, seeds=('10.0.0.9',))
         file.write(changed)
-        watch.look()
+        watch.check_once()
         assert told == [changed]
 
     def test_bad_settings_change_nothing_and_are_told_once(
@@ -76,13 +76,13 @@
     ):
         watch, file, told, _ = watched
         file.write(None)
-        watch.look()
-        watch.look()
+        watch.check_once()
+        watch.check_once()
         assert told == []
         refused = [each for each in caplog.records if 'refused' in each.message]
         assert len(refused) == 1
         file.write(evolve(NODE, seeds=()))
-        watch.look()
+        watch.check_once()
         assert len(told) == 1
 
     def test_a_signal_makes_it_look_at_once(self, watched):
--- a/tests/fleet/test_version_ends.py
+++ b/tests/fleet/test_version_ends.py
@@ -33,9 +33,9 @@
 
     def hear(self, version, *, age_s, now, age_by='teller'):
         named = NamedVersion(model='m', version=version)
-        ended_at = self.ends.before(named)
+        ended_at = self.ends.previous_end(named)
         self.releases.on_named('m', version, age_s=age_s, now=now)
-        self.ends.tell(
+        self.ends.log_change(
             named, ended_at=ended_at, teller='a peer', age_by=age_by, now=now
         )
 
--- a/tests/membership/test_partners.py
+++ b/tests/membership/test_partners.py
@@ -13,7 +13,7 @@
 )
 from crowrudder_model.messages import MemberWord, Sighting, life_of
 
-BEAT_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 REGIONS = ('a', 'b', 'c')
 
 
@@ -95,8 +95,8 @@
     def test_nobody_alive_is_taken_for_dead(self, size):
         fleet = Fleet(size, seed=3)
         for beat in range(1, 100):
-            fleet.beat(beat * BEAT_S)
-        now = 100 * BEAT_S
+            fleet.beat(beat * HEARTBEAT_INTERVAL_S)
+        now = 100 * HEARTBEAT_INTERVAL_S
         counts = {
             len(roster.entries(now=now)) for roster in fleet.rosters.values()
         }
@@ -107,8 +107,8 @@
         fleet = Fleet(44, seed=4)
         fleet.dead = {'0', '1', '2', '3'}
         for beat in range(1, 20):
-            fleet.beat(beat * BEAT_S)
-        now = 20 * BEAT_S
+            fleet.beat(beat * HEARTBEAT_INTERVAL_S)
+        now = 20 * HEARTBEAT_INTERVAL_S
         for ip, roster in fleet.rosters.items():
             if ip not in fleet.dead:
                 live = {each.ip for each in roster.entries(now=now)}
