--- a/tests/fleet/test_ages.py
+++ b/tests/fleet/test_ages.py
@@ -1,4 +1,4 @@
-"""How old an entry takes a version for, which ends the one before it."""
+"""Ages that an entry computes for versions; they end the previous version."""
 
 from __future__ import annotations
 
@@ -14,23 +14,21 @@
 from support.fleet_checks import checked
 
 WAIT_S = 0.5
-"""A watch's wait in these tests, so that the next one is soon sent."""
+"""Seconds that a watch waits in these tests, so that the next one starts soon."""
 
 
 class TestAgesFromPeers:
-    def test_the_way_of_an_answer_counts(self):
-        """An old version was used for as long after its end.
-
-        Symptom: a request begins on an old version 0.4 s after its end.
-        Sequence: an entry asks another for what is new, and its answer takes
-        0.4 s over a full link, as it brings a large configuration as well.
-        Cause: the age in the answer, which was right when it was sent, counted
-        as of when it was read.
+    def test_transit_time_of_an_answer_is_added_to_ages(self):
+        """The transit time of a peer's answer must not make a version younger.
+
+        An answer with a large configuration takes 0.4 s over a full link. If
+        the age in it, right when sent, counted from the time it is read, a
+        request could start on the old version 0.4 s after its end.
         """
 
         async def check(world):
             first = world.entries[0]
-            # The second reads nothing itself.
+            # The second entry can't read the platform itself.
             world.store_address = '127.0.0.1:9'
             second = await world.add_entry(2)
             await world.ready()
@@ -41,15 +39,15 @@
 
         checked(check, entries=1)
 
-    def test_the_wait_in_the_own_queue_counts(self):
-        """The same, where the process itself was late."""
+    def test_wait_in_the_message_queue_is_added_to_ages(self):
+        """The same failure, if the process itself handles the answer late."""
 
         async def check(world):
             first = world.entries[0]
             world.store_address = '127.0.0.1:9'
             second = await world.add_entry(2)
             await world.ready()
-            stand_still_before(second, 'on_records_came', for_s=0.4)
+            suspend_before(second, 'on_records_came', for_s=0.4)
             world.name_version(2)
             await world.until(lambda: newest(second) and newest(first))
             assert newest(second).published_at <= newest(first).published_at
@@ -62,95 +60,94 @@
     def short_wait(self, monkeypatch):
         monkeypatch.setattr(_catalog_task, 'WATCH_WAIT_S', WAIT_S)
 
-    def test_what_was_named_while_a_watch_hung_is_not_new(self, monkeypatch):
-        """All entries used an old version for long after its end.
+    def test_change_during_a_hung_watch_is_not_new(self, monkeypatch):
+        """A change announced during a hung watch must not count as new.
 
-        Symptom: requests begin on an old version up to three seconds after
-        its end, from all entries. Sequence: the watches' connections go
-        silent, a version is named, the watches time out, the next ones bring
-        it at once. Cause: whatever a watch brought counted as published at
-        that moment.
+        The watches' connections go silent, a version is announced, the watches
+        time out, and the next ones return it at once. If it counted as
+        published at that moment, all entries would start requests on the old
+        version up to three seconds after its end.
         """
-        # What a busy machine brings at once may take longer.
+        # An immediate answer may take longer on a busy machine.
         monkeypatch.setattr(_watch_ages, 'QUICK_S', 30)
 
         async def check(world):
             source = world.entries[0].catalog._source
             real = source.watch
-            hung: list[float] = []
+            hung_since: list[float] = []
 
             async def watch(after, *, wait_s):
-                if hung:
+                if hung_since:
                     return await real(after, wait_s=wait_s)
-                hung.append(clock_s())
+                hung_since.append(clock_s())
                 world.name_version(2)
                 await asyncio.sleep(0.4)
                 raise PlatformError('no answer', step='watch', peer='store')
 
             monkeypatch.setattr(source, 'watch', watch)
             await world.until(lambda: newest(world.entries[0]))
-            assert newest(world.entries[0]).published_at <= hung[0]
+            assert newest(world.entries[0]).published_at <= hung_since[0]
 
         checked(check, entries=1)
 
-    def test_what_waited_for_a_process_that_stood_still_is_not_new(
+    def test_change_received_by_a_suspended_process_is_not_new(
         self, monkeypatch
     ):
-        """An entry used an old version for long after its end.
+        """A change received while the process is suspended must not count as new.
 
-        Symptom: requests begin on an old version after its end, from one
-        entry that is well. Sequence: its host is suspended for some seconds,
-        the watch's answer comes meanwhile and is read on waking. Cause: it
-        counted as published when it was read.
+        The host is suspended for some seconds; the watch's answer arrives
+        meanwhile and is read after resuming. If it counted as published when it
+        is read, this entry would start requests on the old version after its
+        end.
         """
 
         async def check(world):
             source = world.entries[0].catalog._source
             real = source.watch
-            came: list[float] = []
+            received_at: list[float] = []
 
             async def watch(after, *, wait_s):
-                if came:
+                if received_at:
                     return await real(after, wait_s=wait_s)
                 asyncio.get_running_loop().call_later(
                     0.6 * WAIT_S, world.name_version, 2
                 )
                 found = await real(after, wait_s=wait_s)
-                came.append(clock_s())
+                received_at.append(clock_s())
                 time.sleep(0.6)  # noqa: ASYNC251
                 return found
 
             monkeypatch.setattr(source, 'watch', watch)
             await world.until(lambda: newest(world.entries[0]))
-            assert newest(world.entries[0]).published_at <= came[0]
+            assert newest(world.entries[0]).published_at <= received_at[0]
 
         checked(check, entries=1)
 
-    def test_what_comes_while_a_watch_waits_is_new(self, monkeypatch):
-        """Hosts have the whole time to load, unless there is a doubt.
+    def test_change_during_a_waiting_watch_is_new(self, monkeypatch):
+        """Hosts have the full time to load if the publication time is certain.
 
-        A busy machine is no doubt here.
+        Delays of a busy machine must not make it uncertain here.
         """
         monkeypatch.setattr(_punctuality, 'LATE_S', 30)
 
         async def check(world):
             source = world.entries[0].catalog._source
             real = source.watch
-            named: list[float] = []
+            announced_at: list[float] = []
 
             def name():
-                named.append(clock_s())
+                announced_at.append(clock_s())
                 world.name_version(2)
 
             async def watch(after, *, wait_s):
-                if not named:
+                if not announced_at:
                     loop = asyncio.get_running_loop()
                     loop.call_later(0.8 * wait_s, name)
                 return await real(after, wait_s=wait_s)
 
             monkeypatch.setattr(source, 'watch', watch)
             await world.until(lambda: newest(world.entries[0]))
-            assert newest(world.entries[0]).published_at >= named[0]
+            assert newest(world.entries[0]).published_at >= announced_at[0]
 
         checked(check, entries=1)
 
@@ -160,7 +157,7 @@
 
 
 def delay_answers(entry, *, by_s):
-    """Have an entry get the answers of others so much later."""
+    """Delay the answers of other processes to an entry."""
     client = entry.client
     real = client.call
 
@@ -172,8 +169,8 @@
     client.call = call
 
 
-def stand_still_before(entry, handler, *, for_s):
-    """Have an entry stand still before it handles a message."""
+def suspend_before(entry, handler, *, for_s):
+    """Suspend an entry before it handles a message."""
     task = entry.catalog
     real = getattr(task, handler)
 
--- a/tests/fleet/test_messages_by_size.py
+++ b/tests/fleet/test_messages_by_size.py
@@ -1,4 +1,4 @@
-"""Datagrams between all processes of a fleet, small and large, in one loop."""
+"""Number of datagrams between all processes of a fleet, by its size."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 from crowrudder_model.messages import Heartbeat
 
 REGIONS = ('a', 'b')
-ENTRIES_OF = {30: 6, 300: 48, 2140: 340}
-"""Entries among so many processes; the others are agents."""
+ENTRY_COUNTS = {30: 6, 300: 48, 2140: 340}
+"""Number of entries by number of processes; the others are agents."""
 
-BEATS = 5
-SIZES = pytest.mark.parametrize('size', sorted(ENTRIES_OF))
+HEARTBEATS = 5
+SIZES = pytest.mark.parametrize('size', sorted(ENTRY_COUNTS))
 
 
-class Listener:
-    """Takes no interest in what is heard."""
+class IgnoringListener:
+    """Ignores heartbeats."""
 
     def peer_heard(self, ip, revision, confirmed_s):
         pass
 
 
-class Wire:
-    """What one process sends."""
+class FakeTransport:
+    """Passes the datagrams of one process to the network."""
 
     def __init__(self, net, ip):
         self._net = net
@@ -50,24 +50,27 @@
         self._net.on_sent(self._ip, address[0], payload)
 
 
-class Net:
-    """A fleet that has met, and counts of its datagrams by sender and target."""
+class FakeNetwork:
+    """Connects all processes and counts datagrams by sender and target.
+
+    All processes know all entries from the start.
+    """
 
     def __init__(self, size):
         self._waiting: deque[tuple[str, str, bytes]] = deque()
         self.now = 1000.0
-        entries = ENTRIES_OF[size]
+        entries = ENTRY_COUNTS[size]
         self.tasks = {
             ip: self._task(ip, 'entry' if number < entries else 'agent')
             for number in range(size)
             if (ip := f'10.{number // 250}.0.{number % 250}')
         }
-        words = [each.roster.own for each in self.tasks.values()]
+        statuses = [each.roster.own for each in self.tasks.values()]
         for task in self.tasks.values():
-            for word in words[:entries]:
-                task.roster.on_word(word, 0, now=self.now)
+            for status in statuses[:entries]:
+                task.roster.on_word(status, 0, now=self.now)
         self.sent: Counter[str] = Counter()
-        self.heard: Counter[str] = Counter()
+        self.received: Counter[str] = Counter()
 
     def _task(self, ip, role):
         counter = SimpleNamespace(add=lambda: None)
@@ -86,88 +89,90 @@
             peer_ports=(7700, 7710),
             seeds=('10.0.0.0', '10.0.0.1', '10.0.0.2'),
         )
-        listener: Any = Listener()
+        listener: Any = IgnoringListener()
         task = PeersTask(runtime, node, listener)
-        wire: Any = Wire(self, ip)
-        task._transport = wire
+        transport: Any = FakeTransport(self, ip)
+        task._transport = transport
         return task
 
     def on_sent(self, ip, target, payload):
         self._waiting.append((ip, target, payload))
 
     def deliver(self):
-        """Deliver what was sent, and what is sent in answer."""
+        """Deliver all sent datagrams, and those sent in reply."""
         while self._waiting:
             ip, target, payload = self._waiting.popleft()
             self.sent[ip] += 1
-            self.heard[target] += 1
+            self.received[target] += 1
             self.tasks[target].on_datagram_received(
                 DatagramReceived(payload, ip)
             )
 
-    def beat(self):
+    def heartbeat(self):
         for task in self.tasks.values():
             task.on_heartbeat_due(HeartbeatDue())
         self.deliver()
         self.now += HEARTBEAT_INTERVAL_S
 
-    def most(self, counts, role):
-        """Give the most datagrams of one process of a role, for each beat."""
-        ips = [ip for ip, task in self.tasks.items() if self._is(task, role)]
-        return max(counts[ip] for ip in ips) / BEATS
+    def max_per_heartbeat(self, counts, role):
+        """Return the highest count of a role's processes, per heartbeat."""
+        ips = [
+            ip for ip, task in self.tasks.items() if self._has_role(task, role)
+        ]
+        return max(counts[ip] for ip in ips) / HEARTBEATS
 
-    def _is(self, task, role):
+    def _has_role(self, task, role):
         return task.roster.own.role == role
 
 
 @pytest.fixture
-def net_of(monkeypatch):
-    def made(size):
-        net = Net(size)
+def make_network(monkeypatch):
+    def make(size):
+        net = FakeNetwork(size)
         monkeypatch.setattr(_peers_task, 'clock_s', lambda: net.now)
         return net
 
-    return made
+    return make
 
 
 class TestAgentsThatChangeNothing:
-    """An agent hears the entries that it has chosen, at any size.
-
-    Symptom: processor time and bytes of an agent grow with the fleet; three
-    entries send a heartbeat to every agent there is. Sequence: an agent asks
-    the seeds now and then, and tells entries drawn by chance of each change of
-    the records; each that hears it sends it heartbeats for three seconds, and
-    records change all the time. Cause: whoever is heard counted as an agent
-    that has chosen this entry.
+    """An agent receives heartbeats only from its chosen entries, at any size.
+
+    If every agent whose heartbeat an entry receives counted as one that has
+    chosen the entry, each entry that an agent contacts, such as a seed or a
+    random entry on a change of the records, would send it heartbeats for three
+    seconds. As records change all the time, processor time and bytes of an
+    agent would grow with the fleet, and three entries would send a heartbeat to
+    every agent.
     """
 
     @SIZES
-    def test_an_agent_hears_its_contacts(self, size, net_of):
-        net = net_of(size)
-        for revision in range(1, BEATS + 1):
+    def test_agent_receives_only_from_its_contacts(self, size, make_network):
+        net = make_network(size)
+        for revision in range(1, HEARTBEATS + 1):
             for task in net.tasks.values():
                 task.set_knowledge(revision, net.now)
             net.deliver()
-            net.beat()
-        # One heartbeat of each contact, and one for the change.
-        assert net.most(net.heard, 'agent') <= 2 * CONTACTS
+            net.heartbeat()
+        # Each contact sends one periodic heartbeat, and one for the change.
+        assert net.max_per_heartbeat(net.received, 'agent') <= 2 * CONTACTS
 
     @SIZES
-    def test_no_entry_feeds_all_agents(self, size, net_of):
-        net = net_of(size)
-        agents = size - ENTRIES_OF[size]
-        for _ in range(BEATS):
-            net.beat()
-        mean = CONTACTS * agents / ENTRIES_OF[size]
-        sent = net.most(net.sent, 'entry')
-        # Chosen by hash: some are chosen three times as often as the mean.
+    def test_no_entry_sends_to_all_agents(self, size, make_network):
+        net = make_network(size)
+        agents = size - ENTRY_COUNTS[size]
+        for _ in range(HEARTBEATS):
+            net.heartbeat()
+        mean = CONTACTS * agents / ENTRY_COUNTS[size]
+        sent = net.max_per_heartbeat(net.sent, 'entry')
+        # Contacts are chosen by hash: some three times as often as the mean.
         assert sent <= 3 * mean + 16
 
 
 class TestAgentsHeard:
-    def agent_beat(self, net, **more):
+    def agent_heartbeat(self, net, **more):
         agents = (
-            ip for ip, task in net.tasks.items() if net._is(task, 'agent')
+            ip for ip, task in net.tasks.items() if net._has_role(task, 'agent')
         )
         agent = next(agents)
         return agent, Heartbeat(word=net.tasks[agent].roster.own, **more)
@@ -175,16 +180,18 @@
     @pytest.mark.parametrize(
         ('more', 'is_fed'), [({}, True), ({'asks_for_reply': True}, False)]
     )
-    def test_one_that_only_asks_is_not_fed(self, net_of, more, is_fed):
-        net = net_of(30)
-        agent, beat = self.agent_beat(net, **more)
+    def test_only_agents_that_chose_the_entry_receive_heartbeats(
+        self, make_network, more, is_fed
+    ):
+        net = make_network(30)
+        agent, heartbeat = self.agent_heartbeat(net, **more)
         entry = net.tasks['10.0.0.0']
-        entry._apply_heartbeat(beat, agent)
+        entry._apply_heartbeat(heartbeat, agent)
         net._waiting.clear()
         entry.on_heartbeat_due(HeartbeatDue())
-        fed = {
+        receivers = {
             target
             for _, target, payload in net._waiting
             if decode_datagram(payload)
         }
-        assert (agent in fed) is is_fed
+        assert (agent in receivers) is is_fed
--- a/tests/fleet/test_own_settings.py
+++ b/tests/fleet/test_own_settings.py
@@ -16,35 +16,35 @@
 ROOT = Path(__file__).parents[2]
 
 
-def written(folder, text):
+def write_ini(folder, text):
     path = folder / 'fleet.ini'
     path.write_text(text)
     return str(path)
 
 
 class TestTuning:
-    def test_every_key_may_be_left_out(self, tmp_path):
+    def test_every_key_is_optional(self, tmp_path):
         assert read_tuning('') == Tuning()
-        assert read_tuning(written(tmp_path, '[fleet]\n')) == Tuning()
+        assert read_tuning(write_ini(tmp_path, '[fleet]\n')) == Tuning()
 
-    def test_the_file_that_is_deployed_is_good(self):
+    def test_deployed_file_is_valid(self):
         assert read_tuning(str(ROOT / 'deploy' / 'fleet.ini')) == Tuning()
 
     def test_keys_are_read(self, tmp_path):
         text = '[fleet]\nupload_share = 0.5\norigin_copies = 2\n'
-        tuning = read_tuning(written(tmp_path, text))
+        tuning = read_tuning(write_ini(tmp_path, text))
         assert (tuning.upload_share, tuning.origin_copies) == (0.5, 2)
 
-    def test_all_faults_are_told_at_once(self, tmp_path):
+    def test_all_faults_are_reported_together(self, tmp_path):
         text = '[fleet]\nupload_share = 7\nnovel = 1\n[other]\na = 1\n'
         with pytest.raises(SettingsError) as caught:
-            read_tuning(written(tmp_path, text))
-        told = str(caught.value)
-        assert 'upload_share' in told
-        assert 'novel' in told
-        assert '[other]' in told
+            read_tuning(write_ini(tmp_path, text))
+        message = str(caught.value)
+        assert 'upload_share' in message
+        assert 'novel' in message
+        assert '[other]' in message
 
-    def test_a_missing_file_is_a_fault(self):
+    def test_missing_file_is_refused(self):
         with pytest.raises(SettingsError, match='no-such'):
             read_tuning('no-such.ini')
 
@@ -58,7 +58,7 @@
         except SettingsError as exc:
             assert exc.args
 
-    def test_the_reference_page_has_every_key(self):
+    def test_reference_page_lists_every_key(self):
         page = (ROOT / 'docs' / 'reference' / 'fleet-settings.md').read_text()
         defaults = Tuning()
         for key in tuning_keys():
@@ -68,7 +68,7 @@
 
 
 class TestFrame:
-    def test_the_drain_ends_before_the_kill(self):
+    def test_drain_ends_before_the_kill(self):
         node = Node(
             host='a',
             role='entry',
@@ -83,26 +83,26 @@
 
 class TestStart:
     @pytest.mark.parametrize('role', ['entry', 'agent'])
-    def test_a_process_loads_nothing_of_the_other_roles(self, role):
-        """An entry was ready half a second later than an agent.
+    def test_process_imports_no_module_of_the_other_role(self, role):
+        """Importing another role's package delays the start of a process.
 
-        Symptom: after all hosts lose power nobody can be served for the time
-        that an entry takes to start. Sequence: the entry of a fleet loads one
-        small module of another entry's package. Cause: with it came that
-        whole package, a quarter of all that it loads.
+        If a fleet's entry imports one small module of another entry's package,
+        it imports that whole package, a quarter of all that it loads. It is
+        then ready half a second later than an agent; after a power failure of
+        all hosts no request is served until an entry has started.
         """
         program = f"""
 import sys
 import crowrudder_platform.__main__, crowrudder_daemon.fleet_{role}
 print(*(name for name in sys.modules if name.count('.') == 1))
 """
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-c', program],
             capture_output=True,
             check=True,
             text=True,
         )
-        loaded = set(done.stdout.split())
+        loaded = set(completed.stdout.split())
         assert f'crowrudder_daemon.fleet_{role}' in loaded
         assert 'crowrudder_daemon.entry' not in loaded
         other = 'agent' if role == 'entry' else 'entry'
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -13,11 +13,11 @@
 from crowrudder_model.messages import Heartbeat, MemberWord
 
 REGIONS = ('a', 'b', 'c')
-MOST_FOR_A_BEAT = 8
+MAX_DATAGRAMS = 8
 
 
-class Wire:
-    """Takes the datagrams that a task sends."""
+class FakeTransport:
+    """Records the datagrams that a task sends."""
 
     def __init__(self):
         self.sent = []
@@ -29,8 +29,8 @@
         self.sent.append((address[0], decode_datagram(payload)))
 
 
-class Listener:
-    """Takes what a task hears."""
+class RecordingListener:
+    """Records the load reports that a task receives."""
 
     def __init__(self):
         self.loads = []
@@ -54,7 +54,7 @@
         pass
 
 
-def entry_word(number):
+def entry_status(number):
     return MemberWord(
         ip=f'10.0.0.{number}',
         role='entry',
@@ -64,7 +64,7 @@
     )
 
 
-def task_of(role, entries):
+def make_task(role, entries):
     runtime: Any = SimpleNamespace(
         log=logging.getLogger('test'), incarnation='1', metrics=Metrics()
     )
@@ -76,71 +76,70 @@
         peer_ports=(7700, 7710),
         seeds=('10.0.0.1', '10.0.0.2'),
     )
-    task = PeersTask(runtime, node, Listener())
-    wire: Any = Wire()
-    task._transport = wire
+    task = PeersTask(runtime, node, RecordingListener())
+    transport: Any = FakeTransport()
+    task._transport = transport
     for number in range(1, entries + 1):
-        beat = Heartbeat(word=entry_word(number))
-        task._apply_heartbeat(beat, entry_word(number).ip)
-    wire.sent.clear()
-    return task, wire
+        heartbeat = Heartbeat(word=entry_status(number))
+        task._apply_heartbeat(heartbeat, entry_status(number).ip)
+    transport.sent.clear()
+    return task, transport
 
 
 class TestBoundedMessages:
-    """What a process sends doesn't grow with the fleet.
+    """The number of datagrams that a process sends doesn't grow with the fleet.
 
-    Symptom: on a fleet of 44 entries and 30 agents over half of the streams
-    come late while a version is spread. Sequence: heartbeats of everyone to
-    everyone, and each change of a record told by everyone to everyone, take
-    the links between the regions. Cause: targets that were all known
-    processes.
+    If every process sent its heartbeats and each change of a record to all
+    known processes, these would fill the links between the regions: in a fleet
+    of 44 entries and 30 agents over half of the streams were late while a
+    version was distributed.
     """
 
     @pytest.mark.parametrize('entries', [20, 43, 240])
-    def test_a_beat_of_an_entry(self, entries):
-        task, wire = task_of('entry', entries)
+    def test_heartbeat_of_an_entry(self, entries):
+        task, transport = make_task('entry', entries)
         task.on_heartbeat_due(HeartbeatDue())
-        assert len(wire.sent) <= MOST_FOR_A_BEAT
+        assert len(transport.sent) <= MAX_DATAGRAMS
 
     @pytest.mark.parametrize('entries', [20, 43, 240])
-    def test_news_of_the_platform(self, entries):
-        task, wire = task_of('entry', entries)
+    def test_new_revision_of_the_platform(self, entries):
+        task, transport = make_task('entry', entries)
         task.set_knowledge(7, 0.0)
-        assert 0 < len(wire.sent) <= MOST_FOR_A_BEAT
-        assert wire.sent[0][1].revision == 7
+        assert 0 < len(transport.sent) <= MAX_DATAGRAMS
+        assert transport.sent[0][1].revision == 7
 
     @pytest.mark.parametrize('entries', [20, 43, 240])
-    def test_a_beat_of_an_agent(self, entries):
-        task, wire = task_of('agent', entries)
+    def test_heartbeat_of_an_agent(self, entries):
+        task, transport = make_task('agent', entries)
         task.on_heartbeat_due(HeartbeatDue())
-        assert 0 < len(wire.sent) <= MOST_FOR_A_BEAT
+        assert 0 < len(transport.sent) <= MAX_DATAGRAMS
 
-    def test_leaving_is_told_to_everyone(self):
-        task, wire = task_of('entry', 43)
+    def test_leaving_is_sent_to_every_entry(self):
+        task, transport = make_task('entry', 43)
         task.set_state(ready=False, leaving=True)
-        assert len(wire.sent) == 43
+        assert len(transport.sent) == 43
 
-    def test_a_small_fleet_hears_everything(self):
-        task, wire = task_of('entry', 7)
+    def test_small_fleet_sends_to_every_entry(self):
+        task, transport = make_task('entry', 7)
         task.on_heartbeat_due(HeartbeatDue())
-        assert len({ip for ip, _ in wire.sent}) == 7
+        assert len({ip for ip, _ in transport.sent}) == 7
 
 
 class TestIntroductions:
-    def test_an_entry_that_only_others_know_is_asked(self):
-        task, wire = task_of('entry', 3)
-        other, _ = task_of('entry', 0)
-        other.roster.on_word(entry_word(9), 0, now=1.0e9)
+    def test_entry_known_only_through_others_is_asked_for_its_status(self):
+        task, transport = make_task('entry', 3)
+        other, _ = make_task('entry', 0)
+        other.roster.on_word(entry_status(9), 0, now=1.0e9)
         sightings = other.roster.sightings(task._random, now=1.0e9)
-        beat = Heartbeat(word=entry_word(1), sightings=sightings)
-        task._apply_heartbeat(beat, entry_word(1).ip)
-        ((ip, asked),) = wire.sent
-        assert ip == entry_word(9).ip
-        assert asked.asks_for_reply
-
-    def test_one_alone_is_told_of_others(self):
-        task, wire = task_of('entry', 20)
-        newcomer = entry_word(99)
-        beat = Heartbeat(word=newcomer, asks_for_reply=True, is_alone=True)
-        task._apply_heartbeat(beat, newcomer.ip)
-        assert wire.sent[0][1].others
+        heartbeat = Heartbeat(word=entry_status(1), sightings=sightings)
+        task._apply_heartbeat(heartbeat, entry_status(1).ip)
+        ((ip, request),) = transport.sent
+        assert ip == entry_status(9).ip
+        assert request.asks_for_reply
+
+    def test_isolated_process_receives_other_entries(self):
+        task, transport = make_task('entry', 20)
+        newcomer = entry_status(99)
+        heartbeat = Heartbeat(word=newcomer, asks_for_reply=True, is_alone=True)
+        task._apply_heartbeat(heartbeat, newcomer.ip)
+        assert transport.sent[0][1].others
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""The programs as they are deployed: separate processes, settings in a file."""
+"""The deployed programs: separate processes with their settings in a file."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 
 @contextlib.asynccontextmanager
-async def process(role, settings, folder):
-    """Run a program until the test ends; its log goes to a pipe."""
+async def run_process(role, settings, folder):
+    """Run a role's program until the block ends; its log goes to a pipe."""
     path = folder / f'{role}.yaml'
     path.write_text(settings)
-    started = await asyncio.create_subprocess_exec(
+    child = await asyncio.create_subprocess_exec(
         sys.executable,
         '-m',
         'crowrudder_platform',
@@ -53,24 +53,24 @@
         stdout=asyncio.subprocess.PIPE,
     )
     try:
-        yield started
+        yield child
     finally:
-        if started.returncode is None:
-            started.kill()
-        await started.wait()
+        if child.returncode is None:
+            child.kill()
+        await child.wait()
 
 
-async def logged(started, message):
-    """Read the log up to a line with a message; every line is JSON."""
-    assert started.stdout is not None
-    async for line in started.stdout:
+async def wait_for_log(child, message):
+    """Return the first log line with a message; every line must be JSON."""
+    assert child.stdout is not None
+    async for line in child.stdout:
         found = json.loads(line)
         if found['message'] == message:
             return found
     raise AssertionError(f'the process ended without {message!r}')
 
 
-async def asked(address, request_id):
+async def send_request(address, request_id):
     request = WireRequest(
         method='POST',
         target='/draft/x',
@@ -86,9 +86,7 @@
 
 
 class TestProcesses:
-    def test_from_an_empty_engine_to_a_whole_answer_and_a_clean_end(
-        self, tmp_path
-    ):
+    def test_fleet_loads_answers_and_exits_cleanly(self, tmp_path):
         async def check():
             world = FleetWorld()
             world.store_address = world.serve(world.store)
@@ -123,14 +121,14 @@
             )
             try:
                 async with (
-                    process('entry', entry_file, tmp_path) as entry,
-                    process('agent', agent_file, tmp_path) as agent,
+                    run_process('entry', entry_file, tmp_path) as entry,
+                    run_process('agent', agent_file, tmp_path) as agent,
                 ):
-                    await logged(entry, 'serving')
-                    await logged(agent, 'version loaded')
+                    await wait_for_log(entry, 'serving')
+                    await wait_for_log(agent, 'version loaded')
                     assert replica.weights == 1
-                    await until_answered(callers)
-                    answer = await asked(callers, 'whole')
+                    await wait_until_answered(callers)
+                    answer = await send_request(callers, 'whole')
                     assert answer.body == stream_of('whole')
                     for each in (agent, entry):
                         each.send_signal(signal.SIGHUP)
@@ -145,23 +143,23 @@
         ('settings', 'told'),
         [('node_name: [', 'settings'), ('ip: 3', '$.ip')],
     )
-    def test_bad_settings_are_told_and_nothing_starts(
+    def test_invalid_settings_are_reported_and_nothing_starts(
         self, settings, told, tmp_path, capfd
     ):
         async def check():
-            async with process('entry', settings, tmp_path) as started:
-                assert await started.wait() == 2
+            async with run_process('entry', settings, tmp_path) as child:
+                assert await child.wait() == 2
 
         run(check())
         assert told in capfd.readouterr().err
 
 
-async def until_answered(callers):
-    """Ask until the entry has heard that the engine holds a version."""
+async def wait_until_answered(callers):
+    """Send requests until the entry knows that the engine holds a version."""
     number = 0
     while True:
         number += 1
-        answer = await asked(callers, f'try-{number}')
+        answer = await send_request(callers, f'try-{number}')
         if answer.head.status == 200:
             return
         assert answer.head.status == 503
--- a/tests/fleet/test_record_bytes.py
+++ b/tests/fleet/test_record_bytes.py
@@ -1,4 +1,4 @@
-"""What published records cost on the links between processes."""
+"""Bytes that published records take on the links between processes."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 
 VERSION_KEY = f'{VERSION_PREFIX}m'
 SLOW_LINK_BYTES_PER_S = 4_700_000 / 8
-"""An agent's host on the narrowest link that was met."""
+"""Link of an agent's host: the narrowest one known."""
 
-CHANGE_S = 0.05
-"""For so long a change may keep such a link busy: two pauses of a stream's
-tokens at the size to design for."""
+MAX_LINK_BUSY_S = 0.05
+"""Longest time for which a change may occupy such a link: two intervals between
+tokens of a stream at the design size."""
 
-MOST_CHANGE_BYTES = int(SLOW_LINK_BYTES_PER_S * CHANGE_S)
-MOST_AGE_BYTES = 64
-"""Of one record: its key, of which most have some 20 bytes, and two numbers."""
+MAX_CHANGE_BYTES = int(SLOW_LINK_BYTES_PER_S * MAX_LINK_BUSY_S)
+MAX_AGE_BYTES = 64
+"""Per record: its key, usually some 20 bytes, and two numbers."""
 
-FRAMES_BYTES = 512
-"""What goes around an answer: a new connection's settings, headers, pings."""
+FRAMING_BYTES = 512
+"""Overhead of an answer: settings of a new connection, headers, pings."""
 
 MORE_ROUTES = tuple(
     route(f'more-{number}', f'/more/{number}/', 'safe', 'plain')
@@ -51,8 +51,8 @@
 )
 
 
-class Source(PlatformStore):
-    """A platform that this process can't read; notes what it decodes."""
+class RecordingSource(PlatformStore):
+    """A platform that this process can't reach; records the decoded payloads."""
 
     def __init__(self) -> None:
         super().__init__('127.0.0.1:9', ConnectionPool())
@@ -63,8 +63,8 @@
         return super().decode(key, payload)
 
 
-class Learner(CatalogTask):
-    """A process that learns of records from one other alone, by calls."""
+class ReceivingCatalog(CatalogTask):
+    """A process that receives records only by calls to one other process."""
 
     def __init__(self, link: CountedLink) -> None:
         node = Node(
@@ -75,7 +75,7 @@
             entries=lambda: [SimpleNamespace(ip=LINK_IP)],
         )
         self.link = link
-        self.source = Source()
+        self.source = RecordingSource()
         super().__init__(
             runtime_of(node),
             node,
@@ -86,17 +86,17 @@
         )
 
     async def list_platform(self, world: Any) -> None:
-        """Take all records from the platform, as at a start."""
+        """Apply all records of the platform, as at the start of a process."""
         source = PlatformStore(world.store_address, ConnectionPool())
         listing = await source.list_all()
         self.on_records_came(platform_records(listing, is_whole=True))
 
     def start(self) -> None:
-        """Work on messages, without reading the platform."""
+        """Handle messages, without reading the platform."""
         self.spawn(self._loop())
 
-    async def learn(self, world: Any) -> int:
-        """Take what the other has; give the bytes that it took."""
+    async def receive_changes(self, world: Any) -> int:
+        """Request the other process's changes; return the bytes received."""
         await world.ready()
         before = self.link.down_bytes
         self.on_peer_ahead(PeerAhead(self.link.address, world.store.revision))
@@ -105,11 +105,11 @@
 
 
 @contextlib.asynccontextmanager
-async def learner(world: Any) -> AsyncIterator[Learner]:
-    """Run one more process that only the first entry tells anything."""
+async def run_receiving_catalog(world: Any) -> AsyncIterator[ReceivingCatalog]:
+    """Run one more process, which receives records from the first entry only."""
     entry = world.entries[0]
     async with counted(f'{entry.node.ip}:{entry.node.rpc_port}') as link:
-        task = Learner(link)
+        task = ReceivingCatalog(link)
         task.start()
         try:
             yield task
@@ -119,39 +119,37 @@
 
 
 class TestChangedConfiguration:
-    def test_a_large_one_leaves_a_slow_link_free(self):
-        """Streams pause and requests are late after a change of routes.
-
-        Symptom: with 1,360 more routes every change of the configuration is
-        in force after 0.5 to 2.3 s, and in the two seconds after it each
-        second stream is late. Sequence: the configuration is one record of
-        250 KB; it goes whole to every process that hears of it, 0.43 s of a
-        link of 4.7 Mbit/s, and what closes a request's connection waits
-        behind it. Cause: the record's text went out as it stands, though its
-        routes repeat one another.
+    def test_large_configuration_leaves_a_slow_link_free(self):
+        """A large configuration must be deflated before it is sent.
+
+        With 1,360 more routes the configuration is a record of 250 KB, whose
+        routes are largely alike. Sent undeflated to every process, it occupies a
+        link of 4.7 Mbit/s for 0.43 s and delays the closing of requests'
+        connections. A change then took 0.5 to 2.3 s to be in force, and half of
+        the streams of the next two seconds were late.
         """
 
         async def check(world):
-            async with learner(world) as task:
-                await task.learn(world)
+            async with run_receiving_catalog(world) as task:
+                await task.receive_changes(world)
                 world.publish(version=5, routes=(*ROUTES, *MORE_ROUTES))
-                took_bytes = await task.learn(world)
+                received_bytes = await task.receive_changes(world)
                 published = world.store.records[CONFIG_KEY].value
-                assert len(published) > 8 * MOST_CHANGE_BYTES
+                assert len(published) > 8 * MAX_CHANGE_BYTES
                 assert task.source.decoded[CONFIG_KEY] == published
                 known = world.entries[0].catalog.view.config
                 assert task.view.config == known
                 assert len(known.routes) == len(ROUTES) + len(MORE_ROUTES)
-                assert took_bytes <= MOST_CHANGE_BYTES
+                assert received_bytes <= MAX_CHANGE_BYTES
 
         checked(check)
 
-    def test_a_small_one_comes_as_it_is(self):
+    def test_small_configuration_is_sent_unchanged(self):
         async def check(world):
-            async with learner(world) as task:
-                await task.learn(world)
+            async with run_receiving_catalog(world) as task:
+                await task.receive_changes(world)
                 world.publish(version=5)
-                await task.learn(world)
+                await task.receive_changes(world)
                 published = world.store.records[CONFIG_KEY].value
                 assert task.source.decoded[CONFIG_KEY] == published
                 assert json.loads(published)['version'] == 5
@@ -161,15 +159,15 @@
 
 
 class TestForms:
-    def test_one_that_cant_be_inflated_takes_no_other_with_it(self, caplog):
-        """It is refused like any record that can't be read."""
+    def test_record_that_cant_be_inflated_is_refused_alone(self, caplog):
+        """It is refused like any invalid record; the others are applied."""
 
         async def check(world):
-            async with learner(world) as task:
-                await task.learn(world)
+            async with run_receiving_catalog(world) as task:
+                await task.receive_changes(world)
                 before = task.view.config
                 revision = task.catalog.revision + 1
-                spoilt = PublishedItem(
+                corrupt = PublishedItem(
                     key=CONFIG_KEY,
                     revision=revision,
                     payload=zlib.compress(b'{}')[:-1],
@@ -182,37 +180,38 @@
                 )
                 caplog.clear()
                 task.on_records_came(
-                    RecordsCame((spoilt, named), revision, False, 'a peer')
+                    RecordsCame((corrupt, named), revision, False, 'a peer')
                 )
                 refused = [
                     line for line in caplog.records if line.levelname == 'ERROR'
                 ]
-                (told,) = refused
-                assert told.message == 'record refused'
-                assert vars(told)['key'] == CONFIG_KEY
-                assert vars(told)['reason']
+                (record,) = refused
+                assert record.message == 'record refused'
+                assert vars(record)['key'] == CONFIG_KEY
+                assert vars(record)['reason']
                 assert task.view.config is before
                 release = task.view.releases.newest('m')
                 assert release and release.version == 2
-                # Its place in the order is taken; the next one counts again.
+                # The refused record used up its revision; the next one is
+                # applied.
                 world.publish(version=4)
                 world.publish(version=5, routes=(*ROUTES, *MORE_ROUTES))
-                await task.learn(world)
+                await task.receive_changes(world)
                 assert task.view.config == world.entries[0].catalog.view.config
 
         checked(check)
 
-    def test_a_process_of_the_release_before_gets_it_as_published(self):
+    def test_previous_release_receives_records_as_published(self):
         """A fleet is updated process by process.
 
-        Symptom: a process that starts on the older release has no
-        configuration, and serves nobody. Sequence: it asks one of the newer
-        release for all records. Cause: it can't inflate what it gets.
+        A process that starts on the older release requests all records from one
+        of the newer release. It can't inflate records; if it received them
+        deflated, it would have no configuration and serve no request.
         """
 
         async def check(world):
             world.publish(version=5, routes=(*ROUTES, *MORE_ROUTES))
-            async with learner(world) as task:
+            async with run_receiving_catalog(world) as task:
                 await world.ready()
                 reply = await task._client.call(
                     task.link.address, CHANGES, ChangesAsk(0)
@@ -224,13 +223,13 @@
 
         checked(check)
 
-    def test_a_list_of_the_platform_changes_nothing_that_a_peer_told(self):
-        """The one is as published, the other deflated: one record."""
+    def test_platform_list_changes_no_record_of_a_peer(self):
+        """A published record and its deflated form are the same record."""
 
         async def check(world):
             world.publish(version=5, routes=(*ROUTES, *MORE_ROUTES))
-            async with learner(world) as task:
-                await task.learn(world)
+            async with run_receiving_catalog(world) as task:
+                await task.receive_changes(world)
                 known = {each.key: each for each in task.catalog.items()}
                 assert known[CONFIG_KEY].is_deflated
                 task.source.decoded.clear()
@@ -251,14 +250,13 @@
 
 
 class TestAges:
-    def test_a_new_process_asks_for_ages_alone(self):
-        """A restart costs the links all records, though it has read them.
-
-        Symptom: each process that is restarted takes a second copy of all
-        records over its link, while its requests wait behind them. Sequence:
-        it lists the platform, which shows no ages, and asks another process
-        how old the records are. Cause: it asked for what was published after
-        revision 0, which is everything.
+    def test_new_process_requests_only_ages(self):
+        """A new process must not load all records again to get their ages.
+
+        A restarted process lists the platform, which has no ages, and requests
+        them from another process. If it requested the changes after revision 0,
+        it would receive a second copy of all records over its link, and its
+        requests would wait behind them.
         """
 
         async def check(world):
@@ -267,7 +265,7 @@
                 world.store.put(f'other/{number:03}', b'%d' % number * 200)
             world.name_version(2)
             await world.ready()
-            async with learner(world) as task:
+            async with run_receiving_catalog(world) as task:
                 await task.list_platform(world)
                 known = task.catalog.items()
                 revision = task.catalog.revision
@@ -279,8 +277,8 @@
                         is not None
                     )
                 )
-                most_bytes = MOST_AGE_BYTES * len(known) + FRAMES_BYTES
-                assert task.link.down_bytes <= most_bytes
+                max_bytes = MAX_AGE_BYTES * len(known) + FRAMING_BYTES
+                assert task.link.down_bytes <= max_bytes
                 assert task.catalog.items() == known
                 assert task.catalog.revision == revision
                 assert task.view.releases.ends_at('m', 1) > clock_s()
--- a/tests/fleet/test_settings_watch.py
+++ b/tests/fleet/test_settings_watch.py
@@ -16,13 +16,13 @@
 NODE = Node(host='h', role='entry', ip='10.0.0.1', seeds=('10.0.0.2',))
 
 
-class File:
-    """A settings file that a test writes."""
+class FakeSource:
+    """A source of settings that a test changes."""
 
     def __init__(self):
         self.node: Any = NODE
         self.text = b'1'
-        self.decoded = 0
+        self.decode_count = 0
 
     def write(self, node):
         self.node = node
@@ -32,70 +32,72 @@
         return self.text
 
     def decode(self, payload):
-        self.decoded += 1
+        self.decode_count += 1
         if self.node is None:
             raise CrowrudderError('no settings', step='settings', peer='file')
         return self.node
 
 
 @pytest.fixture
-def watched():
+def watch_setup():
     runtime: Any = SimpleNamespace(
         log=logging.getLogger('test'), reload_asked=asyncio.Event()
     )
-    file = File()
-    told: list[Node] = []
-    watch = SettingsWatch(runtime, NODE, file, told.append)
-    return watch, file, told, runtime
+    source = FakeSource()
+    changes: list[Node] = []
+    watch = SettingsWatch(runtime, NODE, source, changes.append)
+    return watch, source, changes, runtime
 
 
 class TestSettingsWatch:
-    def test_what_is_the_same_is_neither_decoded_again_nor_told(self, watched):
-        watch, file, told, _ = watched
+    def test_unchanged_settings_are_neither_decoded_again_nor_reported(
+        self, watch_setup
+    ):
+        watch, source, changes, _ = watch_setup
         for _ in range(3):
             watch.check_once()
-        assert file.decoded == 1
-        assert told == []
+        assert source.decode_count == 1
+        assert changes == []
 
-    def test_a_change_is_told(self, watched):
-        """A process asked seeds for ever that were gone.
+    def test_change_is_reported(self, watch_setup):
+        """A process must not contact replaced seeds for ever.
 
-        Symptom: after a cut a process knows nobody. Sequence: the seeds in
-        its file are replaced while it runs, then all that it knows die. Cause:
-        a file that was read at the start only.
+        The seeds in its file are replaced while it runs, then all its peers
+        end. If the file were read at the start only, it would find no peer
+        again after a network partition.
         """
-        watch, file, told, _ = watched
+        watch, source, changes, _ = watch_setup
         watch.check_once()
         changed = evolve(NODE, seeds=('10.0.0.9',))
-        file.write(changed)
+        source.write(changed)
         watch.check_once()
-        assert told == [changed]
+        assert changes == [changed]
 
-    def test_bad_settings_change_nothing_and_are_told_once(
-        self, watched, caplog
+    def test_invalid_settings_are_ignored_and_logged_once(
+        self, watch_setup, caplog
     ):
-        watch, file, told, _ = watched
-        file.write(None)
+        watch, source, changes, _ = watch_setup
+        source.write(None)
         watch.check_once()
         watch.check_once()
-        assert told == []
+        assert changes == []
         refused = [each for each in caplog.records if 'refused' in each.message]
         assert len(refused) == 1
-        file.write(evolve(NODE, seeds=()))
+        source.write(evolve(NODE, seeds=()))
         watch.check_once()
-        assert len(told) == 1
+        assert len(changes) == 1
 
-    def test_a_signal_makes_it_look_at_once(self, watched):
-        watch, file, told, runtime = watched
+    def test_signal_triggers_an_immediate_check(self, watch_setup):
+        watch, source, changes, runtime = watch_setup
 
         async def check():
-            job = asyncio.ensure_future(watch.watch())
+            task = asyncio.ensure_future(watch.watch())
             await asyncio.sleep(0)
-            file.write(evolve(NODE, seeds=()))
+            source.write(evolve(NODE, seeds=()))
             runtime.reload_asked.set()
-            while not told:  # noqa: ASYNC110
+            while not changes:  # noqa: ASYNC110
                 await asyncio.sleep(0.001)
-            job.cancel()
+            task.cancel()
 
         run(check())
-        assert told[0].seeds == ()
+        assert changes[0].seeds == ()
--- a/tests/fleet/test_version_ends.py
+++ b/tests/fleet/test_version_ends.py
@@ -1,4 +1,4 @@
-"""What the log tells of the ends of versions that a process believes."""
+"""Log lines on the ends of versions that a process computes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 WINDOW_S = 8
 
 
-def lines_of(caplog, model='m'):
+def log_lines(caplog, model='m'):
     return [
         record
         for record in caplog.records
@@ -24,14 +24,14 @@
     ]
 
 
-class Believer:
-    """A process that is told of versions, at times of the test's choice."""
+class VersionObserver:
+    """Receives versions, with ages and times that the test chooses."""
 
     def __init__(self, free_until=0):
         self.releases = Releases(WINDOW_S, free_until)
         self.ends = VersionEnds(logging.getLogger('test'), self.releases)
 
-    def hear(self, version, *, age_s, now, age_by='teller'):
+    def receive(self, version, *, age_s, now, age_by='teller'):
         named = NamedVersion(model='m', version=version)
         ended_at = self.ends.previous_end(named)
         self.releases.on_named('m', version, age_s=age_s, now=now)
@@ -41,65 +41,67 @@
 
 
 class TestVersionEnds:
-    def test_the_end_that_follows_from_an_age_is_told(self, caplog):
-        """Nothing told which end of a version an entry went by.
+    def test_end_computed_from_an_age_is_logged(self, caplog):
+        """The log must show the end of a version that an entry has computed.
 
-        Symptom: a request begins on a version after its end. Sequence: an
-        entry hears of the next one late, without its age or with another one.
-        Cause: the log told the age as it came, not what followed from it.
+        An entry that receives the next version late, without an age or with
+        another one, can start requests on the old version after its end. The age
+        in the received record alone doesn't show that.
         """
-        believer = Believer()
+        observer = VersionObserver()
         with caplog.at_level('INFO'):
-            believer.hear(1, age_s=100, now=1000)
-            believer.hear(2, age_s=1.5, now=1000)
-        line = lines_of(caplog)[-1]
+            observer.receive(1, age_s=100, now=1000)
+            observer.receive(2, age_s=1.5, now=1000)
+        line = log_lines(caplog)[-1]
         assert (line.step, line.version, line.before) == ('record', 2, 1)
         assert (line.teller, line.age_by) == ('a peer', 'teller')
         assert (line.age_s, line.ends_in_s) == (1.5, 6.5)
         assert line.was_in_s is None
 
-    def test_an_unknown_age_is_told_as_what_it_counts(self, caplog):
-        believer = Believer(free_until=1003)
+    def test_unknown_age_is_logged_as_the_assumed_age(self, caplog):
+        observer = VersionObserver(free_until=1003)
         with caplog.at_level('INFO'):
-            believer.hear(2, age_s=None, now=1000, age_by='nobody')
-        (line,) = lines_of(caplog)
+            observer.receive(2, age_s=None, now=1000, age_by='nobody')
+        (line,) = log_lines(caplog)
         assert (line.age_s, line.ends_in_s) == (5, 3)
         assert (line.before, line.age_by) == (None, 'nobody')
 
-    def test_an_age_that_becomes_known_later_is_a_change(self, caplog):
-        believer = Believer()
+    def test_age_that_becomes_known_later_is_a_change(self, caplog):
+        observer = VersionObserver()
         with caplog.at_level('INFO'):
-            believer.hear(2, age_s=None, now=1000, age_by='nobody')
-            believer.hear(2, age_s=2, now=1001)
-        _, line = lines_of(caplog)
+            observer.receive(2, age_s=None, now=1000, age_by='nobody')
+            observer.receive(2, age_s=2, now=1001)
+        _, line = log_lines(caplog)
         assert (line.ends_in_s, line.was_in_s) == (6, -1)
 
-    def test_the_same_end_is_told_once(self, caplog):
-        believer = Believer()
+    def test_unchanged_end_is_logged_once(self, caplog):
+        observer = VersionObserver()
         with caplog.at_level('INFO'):
-            believer.hear(2, age_s=2, now=1000)
-            believer.hear(2, age_s=3.0001, now=1001)
-            believer.hear(1, age_s=0, now=1002)
-        assert len(lines_of(caplog)) == 1
+            observer.receive(2, age_s=2, now=1000)
+            observer.receive(2, age_s=3.0001, now=1001)
+            observer.receive(1, age_s=0, now=1002)
+        assert len(log_lines(caplog)) == 1
 
 
 class TestOfARunningEntry:
-    """Where the age comes from, by the records that came."""
+    """The source of the age, for records that an entry receives."""
 
-    def test_an_age_that_the_entry_guessed_is_told_as_one(self, caplog):
+    def test_assumed_age_is_logged_as_a_guess(self, caplog):
         async def check(world):
             task = world.entries[0].catalog
-            hear(task, 2, age_s=-1)
-            hear(task, 3, age_s=0.5)
+            receive(task, 2, age_s=-1)
+            receive(task, 3, age_s=0.5)
 
         with caplog.at_level('INFO'):
             checked(check, bounds={'version_s': WINDOW_S})
-        guess, told = lines_of(caplog)
+        guess, reported = log_lines(caplog)
         assert (guess.age_by, guess.version) == ('guess', 2)
-        assert (told.age_by, told.age_s) == ('teller', 0.5)
-        assert (told.before, told.ends_in_s) == (2, 7.5)
+        assert (reported.age_by, reported.age_s) == ('teller', 0.5)
+        assert (reported.before, reported.ends_in_s) == (2, 7.5)
 
-    def test_of_a_new_process_first_nobody_knows_then_a_peer(self, caplog):
+    def test_new_process_logs_an_unknown_age_then_the_age_of_a_peer(
+        self, caplog
+    ):
         async def check(world):
             world.name_version(2)
             await world.ready()
@@ -107,18 +109,18 @@
             await world.add_entry(2, version_s=WINDOW_S)
             releases = world.entries[1].catalog.view.releases
             await world.until(lambda: releases.ends_at('m', 1) > clock_s())
-            await world.until(lambda: len(lines_of(caplog)) > 1)
+            await world.until(lambda: len(log_lines(caplog)) > 1)
 
         with caplog.at_level('INFO'):
             checked(check, bounds={'version_s': WINDOW_S})
-        unknown, known = lines_of(caplog)
+        unknown, known = log_lines(caplog)
         assert (unknown.age_by, unknown.teller) == ('nobody', 'platform')
         assert known.age_by == 'teller'
         assert known.teller != 'platform'
         assert known.ends_in_s > known.was_in_s
 
 
-def hear(task, version, *, age_s):
+def receive(task, version, *, age_s):
     revision = task.catalog.revision + 1
     item = PublishedItem(
         key='op/version/m',
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: what the platform's pages say, in the product's values."""
+"""The adapter decodes the platform's formats into the product's types."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 def decoded(key, value) -> Any:
-    """Decode a record that has to be readable."""
+    """Decode a record that must be valid."""
     return decode_record(key, dumped(value))
 
 
@@ -78,7 +78,7 @@
 
 
 class TestSettings:
-    def test_everything_has_its_place(self):
+    def test_all_fields_are_decoded(self):
         node = decode_node(BOOT.encode())
         assert (node.host, node.role, node.ip) == (
             'front-1',
@@ -95,7 +95,7 @@
         assert node.bounds.retry_share == 0.3
         assert node.platform == '10.9.1.7:8007'
 
-    def test_without_callers_it_is_an_agent(self):
+    def test_node_without_callers_is_an_agent(self):
         text = BOOT.replace(
             '["front", "control", "directory"]', '["side"]'
         ).encode()
@@ -103,11 +103,11 @@
         assert node.role == 'agent'
         assert (node.upstream, node.service) == ('10.1.0.4:1', 'llm')
 
-    def test_a_missing_file_says_which(self):
+    def test_missing_file_is_named(self):
         with pytest.raises(BootError, match=r'no/such.yaml'):
             read_node('no/such.yaml')
 
-    def test_a_wrong_field_is_named(self):
+    def test_invalid_field_is_named(self):
         with pytest.raises(BootError, match='memory_mb'):
             decode_node(BOOT.replace('300', '"much"').encode())
 
@@ -134,7 +134,7 @@
         assert found.asks_for_keys
         assert found.limits.idle_timeout_s == 5
 
-    def test_a_route_may_be_split(self):
+    def test_route_may_be_split(self):
         body = config()
         body['routes'][0].pop('service')
         body['routes'][0]['split'] = [
@@ -147,7 +147,7 @@
             ('b', 10),
         ]
 
-    def test_a_kind_that_isnt_known_is_never_repeated(self):
+    def test_unknown_kind_is_never_retried(self):
         body = config()
         body['routes'][0]['kind'] = 'novel'
         found = decoded('op/config', body)
@@ -160,7 +160,7 @@
         assert found.warm_up_s == 0.5
         assert found.host_ip == '10.1.0.9'
 
-    def test_an_upstream_that_leaves(self):
+    def test_draining_upstream_is_leaving(self):
         found = decoded('servers/i-1', {**SERVER, 'state': 'draining'})
         assert found.state is UpstreamState.LEAVING
 
@@ -168,18 +168,18 @@
         'layers',
         [None, {'from': 0, 'target': 0, 'version': 0}],
     )
-    def test_named_without_layers_it_holds_nothing(self, layers):
+    def test_replica_without_layers_holds_no_version(self, layers):
         models = [] if layers is None else SERVER['models']
         entry = {**SERVER, 'layers': layers, 'models': models}
         assert decoded('servers/i-1', entry).weights == 0
 
-    def test_a_start_tells_the_lives_of_a_name_apart(self):
+    def test_start_time_distinguishes_incarnations(self):
         assert decoded('servers/i-1', SERVER).started_ms == 0
         again = decoded('servers/i-1', {**SERVER, 'born': 1_700_000_000_000})
         assert again.started_ms == 1_700_000_000_000
 
     @pytest.mark.parametrize('name', sorted(REQUIRED))
-    def test_an_entry_without_one_of_its_fields_names_no_upstream(self, name):
+    def test_record_without_a_required_field_is_refused(self, name):
         entry = {key: text for key, text in SERVER.items() if key != name}
         with pytest.raises(BadRecordError):
             decoded('servers/i-1', entry)
@@ -209,17 +209,17 @@
         ],
         ids=str,
     )
-    def test_an_entry_by_another_writer_names_no_upstream(self, forged):
+    def test_invalid_record_of_another_writer_is_refused(self, forged):
         with pytest.raises(BadRecordError):
             decoded('servers/i-1', {**SERVER, **forged})
 
     @pytest.mark.parametrize('name', ['', 'a b', 'a\r\nX: y', 'ä', 'a' * 191])
-    def test_a_name_that_no_header_can_hold_names_no_upstream(self, name):
-        """A request to an upstream with a line break in its name broke.
+    def test_name_that_is_invalid_in_a_header_is_refused(self, name):
+        """A name with a line break would break each request to the upstream.
 
-        Symptom: requests end without an answer, by an error that nobody
-        expects. Sequence: another writer registers such a name, an entry
-        chooses it. Cause: the name goes into a header as it stands.
+        Any writer can register such a name. It is sent in a header; if an entry
+        chose the upstream, the request would end without an answer, by an
+        error that no handler expects.
         """
         with pytest.raises(BadRecordError):
             decoded(f'servers/{name}', SERVER)
@@ -257,7 +257,7 @@
         )
         assert found == NamedVersion(model='m', version=2)
 
-    def test_other_keys_mean_nothing(self):
+    def test_other_keys_are_ignored(self):
         assert decode_record('elsewhere', b'x') is None
 
     @given(
@@ -313,7 +313,7 @@
 
 
 class TestCallers:
-    def test_what_the_entry_decides_by(self):
+    def test_fields_of_a_call(self):
         call = call_of()
         assert call.request_id == '9c41'
         assert call.host == 'Shop.example'
@@ -321,7 +321,7 @@
         assert (call.prompt_tokens, call.answer_tokens) == (1460, 80)
         assert call.wait_s == 6.06
 
-    def test_what_the_replica_gets(self):
+    def test_headers_of_the_replicas_request(self):
         terms = SendTerms(
             upstream_id='i-1',
             left_s=1.5,
@@ -347,7 +347,7 @@
         assert 'Transfer-Encoding' not in names
 
     @pytest.mark.parametrize('text', ['', 'soon', '-5', '1e3', '9' * 20, '٣'])
-    def test_a_deadline_that_is_no_number_is_refused(self, text):
+    def test_deadline_that_is_no_number_is_refused(self, text):
         with pytest.raises(BadCallError):
             call_of({'X-Deadline-Ms': text})
 
@@ -356,7 +356,7 @@
         call = call_of({'X-Token-Count': text})
         assert call.prompt_tokens >= 0
 
-    def test_marks_of_an_answer(self):
+    def test_metadata_of_an_answer(self):
         head = WireHead(
             status=503,
             headers=(
@@ -384,15 +384,15 @@
             ('many', None),
         ],
     )
-    def test_a_limit_is_read_if_it_is_a_number(self, text, limit):
+    def test_limit_is_read_if_it_is_a_number(self, text, limit):
         head = WireHead(status=200, headers=(('server-limit', text),))
         assert PlatformCallers().mark_of(head).limit_per_s == limit
 
-    def test_another_replica_didnt_run_it(self):
+    def test_misdirected_request_was_not_run(self):
         mark = PlatformCallers().mark_of(WireHead(status=421, headers=()))
         assert mark.not_run
 
-    def test_headers_of_one_connection_arent_passed_back(self):
+    def test_hop_by_hop_headers_arent_forwarded(self):
         head = WireHead(
             status=200,
             headers=(
--- a/tests/platform/test_adapter_calls.py
+++ b/tests/platform/test_adapter_calls.py
@@ -1,4 +1,4 @@
-"""What the adapter calls: the store, the engine and the origin."""
+"""The adapter's calls to the store, the engine and the origin."""
 
 from __future__ import annotations
 
@@ -45,13 +45,13 @@
             listing = await source.watch(begin, wait_s=1)
             assert [item.payload for item in listing.items] == [b'1', None]
             assert [item.revision for item in listing.items] == [2, 3]
-            nothing = await source.watch(listing.through, wait_s=0.01)
-            assert not nothing.items
+            unchanged = await source.watch(listing.through, wait_s=0.01)
+            assert not unchanged.items
 
         store = FleetStore()
         run(served(store, check))
 
-    def test_forgotten_history_is_told_apart(self):
+    def test_compacted_history_has_its_own_error(self):
         async def check(address, pool):
             store.put('a', b'1')
             store.compact()
@@ -62,7 +62,7 @@
         run(served(store, check))
 
     @pytest.mark.parametrize('name', ['down', 'busy', 'garbage'])
-    def test_every_other_trouble_is_one_error(self, name):
+    def test_every_other_failure_is_a_platform_error(self, name):
         async def check(address, pool):
             store.faults.switch_on(Fault(name))
             with pytest.raises(PlatformError) as caught:
@@ -91,7 +91,7 @@
 
         run(served(FleetReplica(self.options()), check))
 
-    def test_an_engine_that_is_gone_is_an_error_with_its_address(self):
+    def test_error_of_an_unreachable_engine_has_its_address(self):
         async def check():
             engine = PlatformEngine('127.0.0.1:9', ConnectionPool())
             with pytest.raises(UpstreamError, match=r'127.0.0.1:9'):
@@ -115,13 +115,12 @@
         origin.newest = 2
         run(served(origin, check))
 
-    def test_who_reads_digests_keeps_no_connection(self):
-        """Half of the hosts could read no piece of a version.
+    def test_reading_digests_keeps_no_connection(self):
+        """Hosts that read only digests must not use up the origin's connections.
 
-        Symptom: reads of the origin are reset as soon as a version is named.
-        Sequence: fifty hosts read its digests and keep their connections; the
-        origin takes forty-eight in all. Cause: connections kept by hosts that
-        read nothing more.
+        The origin accepts forty-eight connections. If fifty hosts read a new
+        version's digests and keep their connections, the reads of others are
+        reset: half of the hosts could read no piece of the version.
         """
 
         async def check(address, pool):
@@ -139,7 +138,7 @@
             served(FleetOrigin({'--model': 'm'}), lambda at, _: check(at, pool))
         )
 
-    def test_a_version_that_is_too_old_is_an_error(self):
+    def test_version_that_is_too_old_is_an_error(self):
         async def check(address, pool):
             with pytest.raises(UpstreamError, match='410'):
                 await PlatformOrigin(pool).chunk(address, 'm', 1, 0)
