--- a/packages/daemon/src/crowrudder_daemon/fleet/_catalog_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_catalog_task.py
@@ -107,8 +107,8 @@
         self._last_outage_at = -1.0e9
         self._watch_times = WatchTimes(SWEEP_INTERVAL_S)
         self.catalog = Catalog()
-        free_s = node.bounds.settle_s - STARTUP_ALLOWANCE_S
-        self.view = FleetView(node.bounds.version_s, clock_s() + free_s)
+        settling_s = node.bounds.settle_s - STARTUP_ALLOWANCE_S
+        self.view = FleetView(node.bounds.version_s, clock_s() + settling_s)
         self._ends = VersionEnds(runtime.log, self.view.releases)
         # Agents receive records from entries; they read the platform themselves
         # only if no entry has reported anything for a while.
--- a/packages/daemon/src/crowrudder_daemon/fleet/_records.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_records.py
@@ -60,8 +60,10 @@
         """Return the source of a record's age; see `VersionEnds`."""
         if age_s is None:
             return 'nobody'
-        told = any(item.key == key and item.age_s >= 0 for item in self.items)
-        return 'teller' if told else 'guess'
+        has_age = any(
+            item.key == key and item.age_s >= 0 for item in self.items
+        )
+        return 'teller' if has_age else 'guess'
 
 
 @frozen
@@ -76,7 +78,7 @@
         """Add the time since ``as_of`` to the ages."""
         waited_s = max(now - self.as_of, 0)
         return [
-            replace(told, age_s=told.age_s + waited_s) for told in self.ages
+            replace(each, age_s=each.age_s + waited_s) for each in self.ages
         ]
 
     def age_by(self, _key: str, _age_s: float | None) -> str:
--- a/packages/daemon/src/crowrudder_daemon/fleet/_settings_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_settings_watch.py
@@ -50,7 +50,7 @@
     """Owns the settings that were read last, and reports changes.
 
     Without it, a process that has lost all its peers would contact seeds that
-    have been replaced for ever. Invalid settings change nothing: the previous
+    have been replaced forever. Invalid settings change nothing: the previous
     ones stay in force, and the reason is logged.
     """
 
--- a/tests/fleet/test_settings_watch.py
+++ b/tests/fleet/test_settings_watch.py
@@ -60,7 +60,7 @@
         assert changes == []
 
     def test_change_is_reported(self, watch_setup):
-        """A process must not contact replaced seeds for ever.
+        """A process must not contact replaced seeds forever.
 
         The seeds in its file are replaced while it runs, then all its peers
         end. If the file were read at the start only, it would find no peer
