--- a/measure/_route_fleet.py
+++ b/measure/_route_fleet.py
@@ -338,7 +338,7 @@
     def forbid_second_places(self) -> None:
         """Let every request wait where it was sent first."""
         for entry in self.entries:
-            entry._second_places = RetryBudget(0, balance=0)
+            entry._second_queue_budget = RetryBudget(0, balance=0)
 
     async def _report_for_ever(
         self,
--- a/packages/daemon/src/crowrudder_daemon/entry/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry: callers' connections, routing, limits and permits."""
+"""The entry role: callers' connections, routing, limits and permits."""
 
 from crowrudder_daemon.entry._role import build_entry
 
--- a/packages/daemon/src/crowrudder_daemon/entry/_admission.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_admission.py
@@ -1,4 +1,4 @@
-"""Whether an entry takes a request in; no I/O."""
+"""Admission control of an entry; performs no I/O."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     from crowrudder_daemon.knowledge import Snapshot
     from crowrudder_model.declared import Customer
 
-RETRY_S = 1.0
+RETRY_AFTER_S = 1.0
 
 
 @define
 class Admission:
-    """Limits of the customers, and the ids that this entry has seen."""
+    """Customers' limits and the request ids that this entry has seen."""
 
-    most: int
+    max_concurrent: int
     _buckets: dict[Customer, TokenBucket] = field(factory=dict, init=False)
-    _room: ConcurrencyShares = field(init=False)
+    _shares: ConcurrencyShares = field(init=False)
     _seen: dict[str, float] = field(factory=dict, init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._room = ConcurrencyShares(self.most)
+        self._shares = ConcurrencyShares(self.max_concurrent)
 
     def enter(
         self,
@@ -37,12 +37,12 @@
         *,
         now: float,
     ) -> CallerRequest | Ended:
-        """Take a request in, with the priority it may have, or refuse it."""
+        """Admit a request with its permitted priority, or refuse it."""
         head = req.head
         bundle = snapshot.bundle
-        # Without a service it was read before the first bundle came.
+        # A request without a service was parsed before the first bundle.
         if bundle is None or not req.service:
-            return refused('no_configuration', 503, RETRY_S)
+            return refused('no_configuration', 503, RETRY_AFTER_S)
         customer = bundle.declaration.customer(head.customer)
         if customer is None:
             return refused('unknown_customer', 404)
@@ -50,31 +50,31 @@
             return refused('not_allowed', 403)
         if not head.idempotent and head.request_id in self._seen:
             return refused('already_used', 409)
-        over = self._over_limit(customer, now)
-        if over is not None:
-            return over
-        if not self._room.enter(customer.name, share=customer.share):
-            return refused('overloaded', 503, RETRY_S)
+        refusal = self._over_limit(customer, now)
+        if refusal is not None:
+            return refusal
+        if not self._shares.enter(customer.name, share=customer.share):
+            return refused('overloaded', 503, RETRY_AFTER_S)
         if not head.idempotent:
-            # A run may last until the deadline; the window comes after it.
+            # The retention window starts after the deadline, the latest end.
             self._seen[head.request_id] = now + head.budget_s + REMEMBER_S
         priority = max(head.priority, customer.priority_floor)
         return evolve(req, head=evolve(head, priority=priority))
 
     def leave(self, customer: str) -> None:
-        """Give the room of a request back."""
-        self._room.leave(customer)
+        """Release the slot of a request."""
+        self._shares.leave(customer)
 
     def free(self, request_id: str) -> None:
-        """Let an id that never ran be used again.
+        """Allow an id that never ran to be used again.
 
-        A caller who is told "not run, try again" sends the same id again; it
-        would be refused for good as already used.
+        A caller that is told to retry sends the same id again. If the id were
+        kept, every retry would be refused as already used.
         """
         self._seen.pop(request_id, None)
 
     def forget(self, *, now: float) -> None:
-        """Drop ids whose window is over."""
+        """Remove ids whose retention window has passed."""
         self._seen = {
             request_id: until
             for request_id, until in self._seen.items()
--- a/packages/daemon/src/crowrudder_daemon/entry/_agents.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_agents.py
@@ -1,4 +1,4 @@
-"""The agents that an entry knows, and the choice among them."""
+"""The agents known to an entry, and selection among them."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     from crowrudder_model.messages import AttemptKey, Refusal, Report
 
 SUSPECT_S = 1.0
-"""Seconds for which an agent is avoided after a failed call."""
+"""Time for which an agent is avoided after a failed call."""
 
-ROOM_ASKED = 3
-"""Agents that are asked for their room at the moment of the choice."""
+CAPACITY_QUERY_COUNT = 3
+"""Agents whose current capacity is queried for one selection."""
 
-ROOM_TIMEOUT_S = 0.05
-NO_ROOM = RoomReply(wait_s=-1.0)
+CAPACITY_TIMEOUT_S = 0.05
+NO_CAPACITY = RoomReply(wait_s=-1.0)
 CANCEL_TIMEOUT_S = 1.0
 
 
 class AgentPool:
-    """The router with the addresses, and the short questions to agents."""
+    """The router, the agents' addresses and short calls to agents."""
 
     def __init__(self, runtime: Runtime, peers: PeerClient) -> None:
         self.router = Router(random.Random(runtime.incarnation))
@@ -37,45 +37,50 @@
         self._log = runtime.log
         self._peers = peers
         self._addresses: dict[str, str] = {}
-        self._shown_attempts = runtime.metrics.counter(
+        self._attempts_counter = runtime.metrics.counter(
             'attempts',
             'Attempts sent to agents.',
         )
 
     def on_report(self, report: Report, address: str) -> None:
-        """Take an agent's report."""
+        """Apply an agent's report."""
         self._addresses[report.host] = address
         self.router.on_report(report, now=_now())
 
     def choose(self, need: Need) -> AgentRef | None:
-        """Choose an agent by what is known here."""
+        """Choose an agent from the reports received so far."""
         choice = self.router.choose(need, now=_now())
         return self._agent(choice.host, choice.wait_s) if choice else None
 
-    async def choose_freshly(self, need: Need, ask: RoomAsk) -> AgentRef | None:
-        """Choose an agent; ask a few where the reports may be too old."""
+    async def choose_with_query(
+        self, need: Need, request: RoomAsk
+    ) -> AgentRef | None:
+        """Choose an agent; query a few if the reports may be stale."""
         choice = self.router.choose(need, now=_now())
         if choice is None:
             return None
         known = self._agent(choice.host, choice.wait_s)
         if choice.sure:
             return known
-        return await self.ask_for_room(need, ask, first=choice.host) or known
+        return (
+            await self.choose_by_query(need, request, first=choice.host)
+            or known
+        )
 
-    async def ask_for_room(
+    async def choose_by_query(
         self,
         need: Need,
-        ask: RoomAsk,
+        request: RoomAsk,
         *,
         first: str = '',
     ) -> AgentRef | None:
-        """Ask a few agents for their room, and choose among them."""
-        hosts = self.router.draw(need, ROOM_ASKED, now=_now())
+        """Query the capacity of a few agents and choose among them."""
+        hosts = self.router.draw(need, CAPACITY_QUERY_COUNT, now=_now())
         if first:
             others = [host for host in hosts if host != first]
-            hosts = [first, *others[: ROOM_ASKED - 1]]
+            hosts = [first, *others[: CAPACITY_QUERY_COUNT - 1]]
         replies = await asyncio.gather(
-            *(self._ask_room(host, ask) for host in hosts),
+            *(self._request_capacity(host, request) for host in hosts),
         )
         choice = self.router.choose_by_word(
             need,
@@ -86,7 +91,7 @@
         return self._agent(choice.host, choice.wait_s) if choice else None
 
     async def cancel(self, agent: AgentRef, key: AttemptKey) -> None:
-        """Tell an agent that nobody waits for an attempt any more."""
+        """Cancel an attempt whose result is no longer needed."""
         try:
             await self._peers.call(
                 agent.address,
@@ -98,25 +103,25 @@
             self._log.debug('cancel not delivered: %s', exc)
 
     def on_sent(self, agent: AgentRef) -> None:
-        """Count an attempt."""
+        """Count an attempt that was sent."""
         self.attempts += 1
-        self._shown_attempts.add()
+        self._attempts_counter.add()
         self.router.on_sent(agent.host, agent.incarnation)
 
     def on_ended(self, agent: AgentRef) -> None:
-        """Count an attempt's end."""
+        """Record the end of an attempt."""
         self.router.on_ended(agent.host, agent.incarnation)
 
     def on_first_piece(self, agent: AgentRef, took_s: float) -> None:
-        """Note how long the upstream took for its first piece."""
+        """Record the latency of the upstream's first piece."""
         self.router.on_first_piece(agent.host, took_s)
 
     def on_outcome(self, agent: AgentRef, *, failed: bool) -> None:
-        """Note whether the upstream answered or failed."""
+        """Record whether the upstream answered or failed."""
         self.router.on_outcome(agent.host, failed=failed, now=_now())
 
     def on_refused(self, agent: AgentRef, refusal: Refusal) -> None:
-        """Use a leaving agent no more, whatever its last report says."""
+        """Remove a draining agent, regardless of its last report."""
         if refusal.reason == 'draining':
             self.router.on_gone(agent.host)
 
@@ -126,7 +131,7 @@
         self.router.on_failed(agent.host, until=_now() + SUSPECT_S)
 
     def routes(self, need: Need) -> list[dict[str, Any]]:
-        """Show what is known of each agent, and who could serve now."""
+        """Return the state of each agent and whether it can serve now."""
         obstacles = self.router.obstacles(need, now=_now())
         return [
             {
@@ -152,16 +157,16 @@
             wait_s,
         )
 
-    async def _ask_room(self, host: str, ask: RoomAsk) -> RoomReply:
+    async def _request_capacity(self, host: str, request: RoomAsk) -> RoomReply:
         try:
             return await self._peers.call(
                 self._addresses[host],
                 ROOM,
-                ask,
-                timeout_s=ROOM_TIMEOUT_S,
+                request,
+                timeout_s=CAPACITY_TIMEOUT_S,
             )
         except PeerLostError:
-            return NO_ROOM
+            return NO_CAPACITY
 
 
 def _now() -> float:
--- a/packages/daemon/src/crowrudder_daemon/entry/_answer_bodies.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_answer_bodies.py
@@ -1,4 +1,4 @@
-"""The bodies of answers to callers, as bytes and as JSON."""
+"""Encode the bodies of answers to callers, as bytes and as JSON."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return b'event: token\ndata: ' + payload + b'\n\n'
 
 
-def last_event(ended: Ended, request_id: str) -> bytes:
+def final_event(ended: Ended, request_id: str) -> bytes:
     if ended.outcome is Outcome.ANSWERED:
         payload = msgspec.json.encode(
             {
--- a/packages/daemon/src/crowrudder_daemon/entry/_attempt_call.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_attempt_call.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one agent, from its first message to its last."""
+"""One attempt of a request at one agent, from first to last message."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 if TYPE_CHECKING:
     from crowrudder_daemon.rpc import PeerClient, PeerStream
 
-FIRST_WORD_S = 1.0
-"""Longest wait for an agent's first message; a paused host sends none."""
+FIRST_MESSAGE_TIMEOUT_S = 1.0
+"""Maximum wait for an agent's first message; a paused host sends none."""
 
-SETTLE_EVERY_S = 0.25
-SETTLE_FOR_S = 10.0
-"""Longest that an entry goes on asking for an attempt that it lost."""
+SETTLE_INTERVAL_S = 0.25
+SETTLE_TIMEOUT_S = 10.0
+"""Maximum time for settling an attempt whose stream broke."""
 
-SETTLE_FOR_IDEMPOTENT_S = 0.5
-"""The same where a further attempt elsewhere does no harm."""
+IDEMPOTENT_SETTLE_TIMEOUT_S = 0.5
+"""The same for idempotent requests, which can safely run again elsewhere."""
 
 
 @frozen
 class AgentRef:
-    """An agent as it was chosen: the incarnation matters for settling."""
+    """A chosen agent; settling needs its incarnation."""
 
     host: str
     address: str
@@ -52,41 +52,41 @@
 
 
 class CrossedAnswerError(UpstreamError):
-    """An agent sent a part of another answer, or left one out."""
+    """An agent sent a piece of another answer, or omitted a piece."""
 
 
 class CallOwner(Protocol):
-    """What an attempt needs of the request that it belongs to."""
+    """The request that an attempt belongs to, as the attempt sees it."""
 
     owner: RequestOwner
 
-    def attempt(self, call: AttemptCall) -> Attempt:
-        """Give the message that opens the attempt."""
+    def attempt_message(self, call: AttemptCall) -> Attempt:
+        """Return the message that opens the attempt."""
 
     def grant(self, call: AttemptCall, version: str) -> bool:
-        """Decide on the permit."""
+        """Return whether the attempt may start."""
 
-    def take(self, call: AttemptCall, piece: Piece) -> None:
-        """Take the next piece of an attempt."""
+    def accept_piece(self, call: AttemptCall, piece: Piece) -> None:
+        """Accept the next piece of an attempt."""
 
-    def note_refusal(
+    def record_refusal(
         self, call: AttemptCall, refusal: Refusal, *, is_free: bool = False
     ) -> None:
-        """Take an agent's word that the attempt never starts."""
+        """Record an agent's statement that the attempt never starts."""
 
-    def note_queued(self, call: AttemptCall, queued: Queued) -> None:
-        """Take note that the attempt waits."""
+    def record_queued(self, call: AttemptCall, queued: Queued) -> None:
+        """Record that the attempt is queued."""
 
-    def note_outcome(self, call: AttemptCall, *, failed: bool) -> None:
-        """Take note of what a run came to."""
+    def record_outcome(self, call: AttemptCall, *, failed: bool) -> None:
+        """Record whether the run failed."""
 
-    def note_lost(self, call: AttemptCall, exc: PeerLostError) -> None:
-        """Take note of a broken stream."""
+    def record_lost(self, call: AttemptCall, exc: PeerLostError) -> None:
+        """Record a broken stream."""
 
 
 @define(eq=False)
 class AttemptCall:
-    """An attempt under way; `progress_at` is its last sign of life."""
+    """A running attempt; `progress_at` is the time of its last message."""
 
     agent: AgentRef
     key: AttemptKey
@@ -105,13 +105,13 @@
         return 0 if self._granted_at is None else _now() - self._granted_at
 
     async def run(self) -> Ended | None:
-        """Go on to the end; None where another attempt is safe."""
+        """Run to the end; return None if another attempt is safe."""
         stream = self._peers.open(self.agent.address, RUN)
         try:
             return await self._exchange(stream)
         except PeerLostError as exc:
-            self._request.note_lost(self, exc)
-            return await self._lost(exc)
+            self._request.record_lost(self, exc)
+            return await self._resolve_lost(exc)
         except CrossedAnswerError as exc:
             return self._failed(Outcome.FAILED, 'crossed_answer', str(exc))
         finally:
@@ -121,21 +121,21 @@
         self,
         stream: PeerStream[RunUp, RunDown],
     ) -> Ended | None:
-        attempt = self._request.attempt(self)
+        attempt = self._request.attempt_message(self)
         try:
-            async with asyncio.timeout(FIRST_WORD_S):
+            async with asyncio.timeout(FIRST_MESSAGE_TIMEOUT_S):
                 await stream.send(RunUp(attempt=attempt))
                 first = await stream.read()
         except TimeoutError as exc:
-            raise self._no_word('run') from exc
+            raise self._no_answer('run') from exc
         if first is None:
-            raise self._no_word('run')
+            raise self._no_answer('run')
         if isinstance(first.body, Refusal):
             self._refused(first.body)
             return None
         if isinstance(first.body, Queued):
             self.queued_wait_s = first.body.wait_s
-            self._request.note_queued(self, first.body)
+            self._request.record_queued(self, first.body)
         return await self._follow(stream, stream)
 
     async def _follow(
@@ -152,33 +152,34 @@
                     permit = Permit(key=self.key, granted=granted)
                     await permits.send(RunUp(permit=permit))
                 case Piece() as piece:
-                    self._take(piece)
+                    self._accept_piece(piece)
                 case Refusal() as refusal:
                     self._refused(refusal)
                     return None
                 case Final() as final:
                     return self._final(final)
-        raise self._no_word('run')
+        raise self._no_answer('run')
 
-    def _take(self, piece: Piece) -> None:
-        """Check a piece and hand it on.
+    def _accept_piece(self, piece: Piece) -> None:
+        """Check a piece and forward it.
 
-        A crossed, doubled or missing piece would be seen as wrong text in an
-        answer that looks whole; such an attempt is given up instead.
+        A piece of another answer, a duplicate or a gap would produce wrong
+        text in an answer that looks complete. Duplicates are ignored; the
+        other two end the attempt.
         """
         own = piece.request_id == self.key.request_id
         if not own or piece.version != self.version:
-            raise self._crossed('a piece of another answer')
+            raise self._crossed_answer('a piece of another answer')
         if piece.index < self.next_index:
             return
         if piece.index != self.next_index:
-            raise self._crossed('a piece is missing')
+            raise self._crossed_answer('a piece is missing')
         self.next_index += 1
-        self._request.take(self, piece)
+        self._request.accept_piece(self, piece)
 
     def _refused(self, refusal: Refusal) -> None:
         self._request.owner.refused(self.key)
-        self._request.note_refusal(self, refusal)
+        self._request.record_refusal(self, refusal)
 
     def _final(self, final: Final) -> Ended | None:
         match final.outcome:
@@ -187,7 +188,7 @@
             case Outcome.NOT_RUN:
                 self._request.owner.ended(self.key, Outcome.NOT_RUN)
                 refusal = Refusal(reason=final.message)
-                self._request.note_refusal(
+                self._request.record_refusal(
                     self, refusal, is_free=final.is_unreached
                 )
                 return None
@@ -196,11 +197,11 @@
 
     def _answered(self, final: Final) -> Ended:
         own = final.request_id == self.key.request_id
-        whole = final.pieces == self.next_index
-        if not (own and whole and final.version == self.version):
-            raise self._crossed('the answer is not whole')
+        is_complete = final.pieces == self.next_index
+        if not (own and is_complete and final.version == self.version):
+            raise self._crossed_answer('the answer is not whole')
         self._request.owner.ended(self.key, Outcome.ANSWERED)
-        self._request.note_outcome(self, failed=False)
+        self._request.record_outcome(self, failed=False)
         return Ended(
             outcome=Outcome.ANSWERED,
             code='ok',
@@ -216,17 +217,17 @@
         code: str,
         message: str,
     ) -> Ended | None:
-        """End the attempt; an idempotent request may go on elsewhere."""
+        """End the attempt; an idempotent request may retry elsewhere."""
         owner = self._request.owner
         owner.ended(self.key, outcome)
-        self._request.note_outcome(self, failed=True)
+        self._request.record_outcome(self, failed=True)
         if owner.idempotent:
-            self._request.note_refusal(self, Refusal(reason=message))
+            self._request.record_refusal(self, Refusal(reason=message))
             return None
         return Ended(outcome=outcome, code=code, message=message)
 
-    async def _lost(self, exc: PeerLostError) -> Ended | None:
-        """Find out what became of an attempt whose stream broke."""
+    async def _resolve_lost(self, exc: PeerLostError) -> Ended | None:
+        """Determine the outcome of an attempt whose stream broke."""
         match self._request.owner.lost(self.key):
             case MoveOn():
                 return None
@@ -235,32 +236,36 @@
 
     async def _settle(self, exc: PeerLostError) -> Ended | None:
         owner = self._request.owner
-        longest_s = (
-            SETTLE_FOR_IDEMPOTENT_S if owner.idempotent else SETTLE_FOR_S
+        timeout_s = (
+            IDEMPOTENT_SETTLE_TIMEOUT_S
+            if owner.idempotent
+            else SETTLE_TIMEOUT_S
         )
-        until = _now() + longest_s
+        until = _now() + timeout_s
         while _now() < until and not _process_is_gone(exc):
             try:
                 return await self._settle_once()
             except PeerLostError as again:
                 exc = again
-                await asyncio.sleep(SETTLE_EVERY_S)
-        return self._after(owner.unreachable(self.key), str(exc))
+                await asyncio.sleep(SETTLE_INTERVAL_S)
+        return self._ended_unless_retry(owner.unreachable(self.key), str(exc))
 
     async def _settle_once(self) -> Ended | None:
-        ask = SettleAsk(
+        request = SettleAsk(
             key=self.key,
             incarnation=self.agent.incarnation,
             next_index=self.next_index,
         )
-        stream = self._peers.open(self.agent.address, SETTLE, ask)
+        stream = self._peers.open(self.agent.address, SETTLE, request)
         try:
             state = await self._settled_state(stream)
             match self._request.owner.settled(self.key, state):
                 case Attach():
                     return await self._follow(stream, None)
-                case verdict:
-                    return self._after(verdict, f'settled as {state.value}')
+                case decision:
+                    return self._ended_unless_retry(
+                        decision, f'settled as {state.value}'
+                    )
         finally:
             stream.cancel()
 
@@ -269,16 +274,18 @@
         stream: PeerStream[SettleAsk, RunDown],
     ) -> SettledState:
         try:
-            async with asyncio.timeout(FIRST_WORD_S):
+            async with asyncio.timeout(FIRST_MESSAGE_TIMEOUT_S):
                 first = await stream.read()
         except TimeoutError as exc:
-            raise self._no_word('settle') from exc
+            raise self._no_answer('settle') from exc
         if first is None or not isinstance(first.body, Settled):
-            raise self._no_word('settle')
+            raise self._no_answer('settle')
         return first.body.state
 
-    def _after(self, verdict: MoveOn | Outcome, message: str) -> Ended | None:
-        match verdict:
+    def _ended_unless_retry(
+        self, decision: MoveOn | Outcome, message: str
+    ) -> Ended | None:
+        match decision:
             case MoveOn():
                 return None
             case outcome:
@@ -288,14 +295,14 @@
                     message=message,
                 )
 
-    def _no_word(self, step: str) -> PeerLostError:
+    def _no_answer(self, step: str) -> PeerLostError:
         return PeerLostError(
             'the agent gave no final word',
             step=step,
             peer=self.agent.address,
         )
 
-    def _crossed(self, message: str) -> CrossedAnswerError:
+    def _crossed_answer(self, message: str) -> CrossedAnswerError:
         return CrossedAnswerError(
             message,
             step='answer',
@@ -304,10 +311,10 @@
 
 
 def _process_is_gone(exc: PeerLostError) -> bool:
-    """Tell whether nobody listens at the agent's port any more.
+    """Return whether nothing listens on the agent's port any more.
 
-    An agent listens as long as anything runs there, so a refused connection
-    shows that the incarnation is gone and will settle nothing.
+    An agent listens for as long as anything runs there, so a refused
+    connection shows that its incarnation has ended and can't settle anything.
     """
     return 'connection refused' in exc.message.lower()
 
--- a/packages/daemon/src/crowrudder_daemon/entry/_caller_request.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request, parsed and checked; no I/O."""
+"""Parsing and validation of callers' requests; performs no I/O."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 LOWEST_PRIORITY = 9
 DEFAULT_PRIORITY = 5
 MOST_TOKENS = 100_000
-LONGEST_DEADLINE_MS = 3_600_000
+MAX_DEADLINE_MS = 3_600_000
 PREFIX_LENGTH = 32
 _ID = re.compile('[A-Za-z0-9._-]{1,128}')
 _NAME = re.compile('[A-Za-z0-9._-]{1,64}')
 
 
 class BadRequestError(Exception):
-    """A request that can't be understood; nothing of it ran.
+    """A request that is invalid; no part of it ran.
 
     ``status`` and ``code`` are those of the answer.
     """
@@ -37,9 +37,9 @@
 
 @frozen(kw_only=True)
 class CallHead:
-    """What the headers say, the same for models and plain services.
+    """Header values, which models and plain services share.
 
-    ``budget_s`` is in seconds from arrival.
+    ``budget_s`` counts from the request's arrival.
     """
 
     request_id: str
@@ -48,7 +48,7 @@
     idempotent: bool
     priority: int
     id_made_here: bool = False
-    """Whether the caller gave no id, so that nobody else can know it."""
+    """Whether the entry generated the id, so that nobody else knows it."""
 
 
 class CompletionBody(msgspec.Struct, forbid_unknown_fields=True):
@@ -63,7 +63,7 @@
 
 @frozen(kw_only=True)
 class PlainCall:
-    """A call to pass on to a plain service."""
+    """A call to forward to a plain service."""
 
     method: str
     path: str
@@ -73,7 +73,7 @@
 
 @frozen(kw_only=True)
 class CallerRequest:
-    """One request with everything that decides where it goes."""
+    """One request with everything that determines its routing."""
 
     head: CallHead
     service: str
@@ -82,15 +82,15 @@
 
     @property
     def prefix(self) -> str:
-        """The part of the prompt that decides on affinity; empty for none."""
+        """The affinity key from the start of the prompt; empty for none."""
         if self.completion is None:
             return ''
         start = self.completion.prompt[:PREFIX_LENGTH]
         return f'{self.completion.adapter}|{start}'
 
 
-def shown_id(headers: Mapping[str, str]) -> str:
-    """Give the id for an answer: the caller's if it can be one, or a new one.
+def answer_request_id(headers: Mapping[str, str]) -> str:
+    """Return the id for an answer: the caller's if valid, else a new one.
 
     >>> shown_id({'X-Request-Id': 'r1'})
     'r1'
@@ -100,25 +100,25 @@
 
 
 def parse_head(headers: Mapping[str, str], *, default_s: float) -> CallHead:
-    """Read the headers of a call.
+    """Parse the headers of a call.
 
     Raises
     ------
     BadRequestError
-        With the header's name and what is allowed.
+        If a header is invalid; names it and the allowed values.
     """
     customer = headers.get('X-Customer', '')
     if not _NAME.fullmatch(customer):
-        raise _bad('X-Customer must be 1 to 64 of A-Z a-z 0-9 . _ -')
+        raise _bad_request('X-Customer must be 1 to 64 of A-Z a-z 0-9 . _ -')
     given_id = headers.get('X-Request-Id', '')
     request_id = given_id or uuid.uuid4().hex
     if not _ID.fullmatch(request_id):
-        raise _bad('X-Request-Id must be 1 to 128 of A-Z a-z 0-9 . _ -')
-    budget_ms = _whole(
+        raise _bad_request('X-Request-Id must be 1 to 128 of A-Z a-z 0-9 . _ -')
+    budget_ms = _parse_int(
         headers,
         'X-Deadline-Ms',
         default=int(default_s * 1000),
-        most=LONGEST_DEADLINE_MS,
+        maximum=MAX_DEADLINE_MS,
     )
     return CallHead(
         request_id=request_id,
@@ -126,60 +126,64 @@
         customer=customer,
         budget_s=budget_ms / 1000,
         idempotent=headers.get('X-Idempotent', '').lower() == 'true',
-        priority=_whole(
+        priority=_parse_int(
             headers,
             'X-Priority',
             default=DEFAULT_PRIORITY,
-            most=LOWEST_PRIORITY,
+            maximum=LOWEST_PRIORITY,
         ),
     )
 
 
 def parse_completion(body: bytes) -> CompletionBody:
-    """Read the body of a completion.
+    """Parse the body of a completion.
 
     Raises
     ------
     BadRequestError
-        When it is not JSON or a field is missing, unknown or out of range.
+        If it isn't JSON or a field is missing, unknown or out of range.
     """
     try:
         completion = msgspec.json.decode(body, type=CompletionBody)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-        raise _bad(f'the body is not a completion: {exc}') from exc
+        raise _bad_request(f'the body is not a completion: {exc}') from exc
     if not 1 <= completion.max_tokens <= MOST_TOKENS:
-        raise _bad(f'max_tokens must be 1 to {MOST_TOKENS}')
+        raise _bad_request(f'max_tokens must be 1 to {MOST_TOKENS}')
     return completion
 
 
-def _whole(
+def _parse_int(
     headers: Mapping[str, str],
     name: str,
     *,
     default: int,
-    most: int,
+    maximum: int,
 ) -> int:
     text = headers.get(name)
     if text is None:
         return default
-    if not text.isascii() or not text.isdigit() or len(text) > len(str(most)):
-        raise _bad(f'{name} must be a whole number from 0 to {most}')
+    if (
+        not text.isascii()
+        or not text.isdigit()
+        or len(text) > len(str(maximum))
+    ):
+        raise _bad_request(f'{name} must be a whole number from 0 to {maximum}')
     number = int(text)
-    if number > most:
-        raise _bad(f'{name} must be a whole number from 0 to {most}')
+    if number > maximum:
+        raise _bad_request(f'{name} must be a whole number from 0 to {maximum}')
     return number
 
 
-def _bad(message: str) -> BadRequestError:
+def _bad_request(message: str) -> BadRequestError:
     return BadRequestError(message, status=400, code='bad_request')
 
 
-def with_work(
+def with_payload(
     attempt: Attempt,
     req: CallerRequest,
     next_index: int,
 ) -> Attempt:
-    """Add what is to be run to the message that opens an attempt."""
+    """Return the opening message of an attempt with the work to run."""
     completion = req.completion
     if completion is not None:
         return evolve(
--- a/packages/daemon/src/crowrudder_daemon/entry/_claims.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_claims.py
@@ -1,4 +1,4 @@
-"""Claim request ids at their home agents, and give them back."""
+"""Claim request ids at their voters, and release them."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     from crowrudder_model import Member
 
 CLAIM_TIMEOUT_S = 0.5
-"""Longest wait for the homes; one that is paused costs no more than this."""
+"""Maximum wait for the voters; bounds the delay that a paused one causes."""
 
 RELEASE_TIMEOUT_S = 2.0
 
 
 @frozen
 class Claim:
-    """One id claimed for one request; ``addresses`` are by home."""
+    """One id claimed for one request; ``addresses`` are by voter."""
 
     request_id: str
     owner: str
@@ -40,91 +40,94 @@
     addresses: dict[str, str]
 
 
-def homes_among(
+def select_voters(
     request_id: str,
     members: Iterable[Member],
     suspects: Collection[str] = (),
 ) -> dict[str, str]:
-    """Give the homes of an id and their addresses.
+    """Return the voters of an id and their addresses.
 
-    An agent that says that it leaves is none: it hands its claims over. One
-    that alone seems dead is left out as well, or a small fleet would refuse
-    everything until the member list drops it. Where several seem dead, this
-    entry may be the one that is cut off; then all stay, and claims fail rather
-    than be held on both sides of a cut.
+    A leaving agent is excluded, as it hands its claims over. A single
+    suspected agent is excluded as well; otherwise a small fleet would refuse
+    all requests until the member list drops it. If several agents are
+    suspected, this entry itself may be partitioned. All of them are then kept,
+    so that claims fail rather than be held on both sides of a partition.
     """
-    agents = {member.host: member for member in members if _may_vouch(member)}
-    dead = [host for host in agents if host in suspects]
-    if len(dead) == 1:
-        agents.pop(dead[0])
-    places = (
+    agents = {
+        member.host: member for member in members if _is_eligible_voter(member)
+    }
+    suspected = [host for host in agents if host in suspects]
+    if len(suspected) == 1:
+        agents.pop(suspected[0])
+    candidates = (
         Place(host, member.failure_domain) for host, member in agents.items()
     )
     return {
-        host: agents[host].rpc_address for host in homes_of(request_id, places)
+        host: agents[host].rpc_address
+        for host in homes_of(request_id, candidates)
     }
 
 
-def _may_vouch(member: Member) -> bool:
+def _is_eligible_voter(member: Member) -> bool:
     return member.role == 'agent' and member.state == 'live'
 
 
-async def take_claim(
+async def acquire_claim(
     peers: PeerClient,
     claim: Claim,
     *,
     budget_s: float,
 ) -> Vote:
-    """Ask all homes at once and return as soon as the count is decided."""
-    count = ClaimCount(tuple(claim.addresses))
-    ask = ClaimAsk(
+    """Send the claim to all voters; return once the tally is decided."""
+    tally = ClaimCount(tuple(claim.addresses))
+    request = ClaimAsk(
         request_id=claim.request_id,
         owner=claim.owner,
         serial=claim.serial,
         keep_s=budget_s + REMEMBER_S,
     )
     jobs = [
-        asyncio.ensure_future(_ask_home(peers, home, address, ask))
-        for home, address in claim.addresses.items()
+        asyncio.ensure_future(_request_claim(peers, voter, address, request))
+        for voter, address in claim.addresses.items()
     ]
-    # The asks go on after the decision: a home that answers late has then
-    # noted the claim all the same, which only widens the margin.
+    # The requests continue after the decision: a voter that answers late has
+    # still recorded the claim, which only adds redundancy.
     for answered in asyncio.as_completed(jobs):
-        vote = count.take(*await answered)
+        vote = tally.take(*await answered)
         if vote is not Vote.OPEN:
             return vote
-    return count.close()
+    return tally.close()
 
 
 async def release_claim(peers: PeerClient, claim: Claim) -> None:
-    """Give an id back that provably did not run."""
-    ask = ReleaseAsk(
+    """Release an id that provably did not run."""
+    request = ReleaseAsk(
         request_id=claim.request_id,
         owner=claim.owner,
         serial=claim.serial,
     )
     await asyncio.gather(
         *(
-            peers.call(address, RELEASE, ask, timeout_s=RELEASE_TIMEOUT_S)
+            peers.call(address, RELEASE, request, timeout_s=RELEASE_TIMEOUT_S)
             for address in claim.addresses.values()
         ),
         return_exceptions=True,
     )
 
 
-async def _ask_home(
+async def _request_claim(
     peers: PeerClient,
-    home: str,
+    voter: str,
     address: str,
-    ask: ClaimAsk,
+    request: ClaimAsk,
 ) -> tuple[str, ClaimState]:
     try:
         reply = await peers.call(
             address,
             CLAIM,
-            ask,
+            request,
             timeout_s=CLAIM_TIMEOUT_S,
         )
     except CrowrudderError:
-        return home, ClaimState.ABSTAINED
-    return home, reply.state
+        return voter, ClaimState.ABSTAINED
+    return voter, reply.state
--- a/packages/daemon/src/crowrudder_daemon/entry/_drive_owner.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_execution_owner.py
@@ -1,4 +1,4 @@
-"""What a request on its way needs of the task that owns it."""
+"""Interface of the task that owns a running request."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
     from crowrudder_model.messages import RoomAsk
 
 
-class DriveOwner(Protocol):
-    """The task that owns the requests, as one of them sees it."""
+class ExecutionOwner(Protocol):
+    """The task that owns the requests, as a request's execution sees it."""
 
     agents: AgentPool
     snapshot: Snapshot
 
     def spawn(self, job: Any) -> asyncio.Task[Any]:
-        """Run a coroutine that ends with the owner at the latest."""
+        """Run a coroutine that is cancelled when the owner stops."""
 
     def may_retry(self) -> bool:
-        """Spend one retry."""
+        """Return whether the retry budget allows a retry; consume one."""
 
     def may_queue_twice(self) -> bool:
-        """Spend one second place in a queue."""
+        """Return whether a second queue place is allowed; consume one."""
 
     def share_of(self, customer: str) -> float:
-        """Give the part of the slots that is declared for a customer."""
+        """Return the share of the slots that is declared for a customer."""
 
-    def room_ask(self, req: CallerRequest) -> RoomAsk:
-        """Give the question for room for a request."""
+    def capacity_request(self, req: CallerRequest) -> RoomAsk:
+        """Return the capacity request for a caller's request."""
 
     def on_fault(self, exc: Exception) -> None:
-        """Report a fault that no one expected."""
+        """Report an unexpected exception."""
 
     def forget(self, request_id: str, claim: Claim | None) -> None:
-        """Let an id that never ran be used again, here and elsewhere."""
+        """Release an id that never ran, here and at its voters."""
 
     def note_end(self, ended: Ended) -> None:
-        """Count a final word."""
+        """Count a final outcome."""
--- a/packages/daemon/src/crowrudder_daemon/entry/_handlers.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_handlers.py
@@ -1,4 +1,4 @@
-"""Tornado handlers of the callers' interface."""
+"""Tornado handlers of the HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from crowrudder_daemon.entry._answer_bodies import (
     error_body,
-    last_event,
+    final_event,
     token_event,
 )
 from crowrudder_daemon.entry._caller_request import (
@@ -21,9 +21,9 @@
     CallerRequest,
     CallHead,
     PlainCall,
+    answer_request_id,
     parse_completion,
     parse_head,
-    shown_id,
 )
 from crowrudder_daemon.entry._parts import Ended
 from crowrudder_daemon.entry._requests import CallerLost, RequestCame
@@ -37,9 +37,9 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.declared import Service
 
-KEEP_S = 30
-PASSED_ON = frozenset(('content-type', 'accept', 'accept-language'))
-PLAIN_ANSWER_HEADERS = frozenset(('content-type',))
+ENTRIES_TTL_S = 30
+FORWARDED_HEADERS = frozenset(('content-type', 'accept', 'accept-language'))
+FORWARDED_ANSWER_HEADERS = frozenset(('content-type',))
 METHOD_NOT_ALLOWED = 405
 PLAIN_METHODS = ('GET', 'POST', 'PUT', 'DELETE', 'PATCH')
 
@@ -49,7 +49,7 @@
     requests: RequestsTask,
     answers: OpenAnswers,
 ) -> Application:
-    """Give the application that callers talk to."""
+    """Return the application that serves callers."""
     shared = {'runtime': runtime, 'requests': requests}
     counted = {**shared, 'answers': answers}
     return Application(
@@ -64,15 +64,15 @@
 
 
 def _log_nothing(_handler: RequestHandler) -> None:
-    """Leave the log of requests to the task that decides on them."""
+    """Log nothing; the requests task logs requests."""
 
 
 class UnknownHandler(RequestHandler):
-    """Answers paths that do not exist."""
+    """Answers requests for unknown paths."""
 
     def prepare(self) -> None:
-        """Refuse."""
-        request_id = shown_id(self.request.headers)
+        """Answer with status 404."""
+        request_id = answer_request_id(self.request.headers)
         self.set_status(404)
         self.set_header('X-Outcome', Outcome.NOT_RUN.value)
         self.set_header('X-Request-Id', request_id)
@@ -82,23 +82,23 @@
 
 
 class EntriesHandler(RequestHandler):
-    """Tells callers which entries to use."""
+    """Serves the list of entries that callers can use."""
 
     def initialize(self, runtime: Runtime, requests: RequestsTask) -> None:
-        """Take what the application shares."""
+        """Store the objects that the handlers share."""
         self._runtime = runtime
         self._requests = requests
 
     def get(self) -> None:
-        """Give the live entries in random order, so that callers spread.
+        """Send the live entries in random order, which spreads callers.
 
-        Ones that may be dead are left out, and so is this one when it leaves,
-        whatever the list says.
+        Suspected entries are omitted, and so is this entry while it leaves,
+        because the member list lags.
         """
         snapshot = self._requests.snapshot
         own = self._runtime.cfg.process.host
-        gone = {own} if self._requests.leaving else set()
-        gone.update(snapshot.suspects)
+        excluded = {own} if self._requests.leaving else set()
+        excluded.update(snapshot.suspects)
         entries = [
             {
                 'host': member.host,
@@ -106,16 +106,16 @@
                 'port': member.http_port,
             }
             for member in snapshot.by_role('entry')
-            if member.state == 'live' and member.host not in gone
+            if member.state == 'live' and member.host not in excluded
         ]
         random.shuffle(entries)
         if self._requests.leaving:
             self.set_header('Connection', 'close')
-        self.write({'entries': entries, 'keep_s': KEEP_S})
+        self.write({'entries': entries, 'keep_s': ENTRIES_TTL_S})
 
 
 class _CallHandler(RequestHandler):
-    """What completions and plain services share."""
+    """Base of the handlers of completions and plain services."""
 
     def initialize(
         self,
@@ -129,23 +129,23 @@
         self._answers.begin()
         self._is_open = True
         self._parts: asyncio.Queue[Piece | Ended] = asyncio.Queue()
-        self._request_id = shown_id(self.request.headers)
+        self._request_id = answer_request_id(self.request.headers)
 
     def on_connection_close(self) -> None:
         self._requests.post(CallerLost(self._parts))
-        self._end()
+        self._on_answer_ended()
 
     def finish(
         self,
         chunk: str | bytes | dict[str, Any] | None = None,
     ) -> asyncio.Future[None]:
-        """End the answer, and count it as out once its last byte is."""
+        """End the answer; count it as sent once its last byte is."""
         fut: asyncio.Future[None] = super().finish(chunk)
-        fut.add_done_callback(lambda _: self._end())
+        fut.add_done_callback(lambda _: self._on_answer_ended())
         return fut
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer a fault of this process; what ran is not known."""
+        """Answer an internal error; whether the request ran is unknown."""
         if status_code == METHOD_NOT_ALLOWED:
             self._refuse(_wrong_method(self.request.method))
             return
@@ -158,7 +158,7 @@
             ),
         )
 
-    def _end(self) -> None:
+    def _on_answer_ended(self) -> None:
         if not self._is_open:
             return
         self._is_open = False
@@ -167,10 +167,10 @@
             self._close()
 
     def _close(self) -> None:
-        """Close a kept connection after its last answer.
+        """Close a keep-alive connection after its last answer.
 
-        Tornado only tells the caller to close. One that doesn't would go on
-        to send new requests to a leaving entry until the process ends.
+        Tornado only asks the caller to close. A caller that ignores this would
+        send new requests to a leaving entry until the process ends.
         """
         conn = self.request.connection
         if isinstance(conn, HTTP1Connection):
@@ -202,8 +202,8 @@
         if self._requests.leaving:
             self.set_header('Connection', 'close')
         if ended.retry_after_s:
-            whole = math.ceil(min(ended.retry_after_s, 3600))
-            self.set_header('Retry-After', str(max(whole, 1)))
+            retry_s = math.ceil(min(ended.retry_after_s, 3600))
+            self.set_header('Retry-After', str(max(retry_s, 1)))
 
     def _finish_ended(self, ended: Ended) -> None:
         self._set_outcome(ended)
@@ -227,7 +227,7 @@
 
 
 class CompletionsHandler(_CallHandler):
-    """Answers of models, whole or streamed."""
+    """Serves completions of models, complete or streamed."""
 
     async def post(self) -> None:
         """Run a completion."""
@@ -240,7 +240,7 @@
         if req.completion is not None and req.completion.stream:
             await self._stream()
         else:
-            await self._whole(req)
+            await self._send_complete(req)
 
     def _parse(self) -> CallerRequest:
         head = self._head()
@@ -254,7 +254,7 @@
             completion=completion,
         )
 
-    async def _whole(self, req: CallerRequest) -> None:
+    async def _send_complete(self, req: CallerRequest) -> None:
         pieces, ended = await self._collect()
         if ended.outcome is not Outcome.ANSWERED:
             self._finish_ended(ended)
@@ -287,19 +287,19 @@
                 self.write(token_event(part))
                 await self.flush()
                 part = await self._parts.get()
-            self.write(last_event(part, self._request_id))
+            self.write(final_event(part, self._request_id))
             await self.finish()
         except StreamClosedError:
             return
 
 
 class ServicesHandler(_CallHandler):
-    """Passes calls on to plain services."""
+    """Forwards calls to plain services."""
 
     SUPPORTED_METHODS = PLAIN_METHODS
 
     async def prepare(self) -> None:
-        """Pass any method on; Tornado asks for one method each otherwise."""
+        """Forward any method; Tornado otherwise needs a handler for each."""
         service, path = self.path_args
         try:
             req = self._parse(service, path)
@@ -313,16 +313,16 @@
             return
         self._set_outcome(ended)
         for name, text in ended.headers:
-            if name.lower() in PLAIN_ANSWER_HEADERS:
+            if name.lower() in FORWARDED_ANSWER_HEADERS:
                 self.set_header(name, text)
         self.finish(b''.join(piece.body for piece in pieces))
 
     def _parse(self, service: str, path: str) -> CallerRequest:
         head = self._head()
         known = self._requests.service_of(service)
-        # Before the first bundle nothing is known: the requests' task says so.
-        informed = self._requests.snapshot.bundle is not None
-        if informed and (known is None or known.is_engine):
+        # Without a bundle no service is known; the requests task refuses.
+        has_bundle = self._requests.snapshot.bundle is not None
+        if has_bundle and (known is None or known.is_engine):
             raise BadRequestError(
                 f'no plain service {service[:64]!r}',
                 status=404,
@@ -338,7 +338,7 @@
                 headers=tuple(
                     (name, text)
                     for name, text in self.request.headers.get_all()
-                    if name.lower() in PASSED_ON
+                    if name.lower() in FORWARDED_HEADERS
                 ),
                 body=self.request.body,
             ),
@@ -346,7 +346,7 @@
 
 
 def _require_known(completion: CompletionBody, service: Service | None) -> None:
-    """Refuse what no engine is declared to serve; a retry wouldn't help."""
+    """Raise if no engine is declared to serve this; a retry can't help."""
     if service is None or not service.is_engine:
         raise BadRequestError(
             f'no model {completion.model[:64]!r}',
--- a/packages/daemon/src/crowrudder_daemon/entry/_links.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_links.py
@@ -1,4 +1,4 @@
-"""Streams of reports from agents; one job for each agent."""
+"""Streams of reports from agents, with one job for each agent."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_daemon.rpc import PeerClient
 
-REPORT_EVERY_S = 0.5
-RECONNECT_S = 0.2
+REPORT_INTERVAL_S = 0.5
+RECONNECT_DELAY_S = 0.2
 
 
 @frozen
 class ReportCame:
-    """An agent reported, at this address."""
+    """An agent at this address sent a report."""
 
     report: Report
     address: str
@@ -41,13 +41,13 @@
 
 @frozen
 class LinksWanted:
-    """These agents, host to address, are to be linked."""
+    """Open streams to exactly these agents, as (host, address) pairs."""
 
     addresses: tuple[tuple[str, str], ...]
 
 
 class LinksTask(Task):
-    """Owns the streams of reports and hands reports on."""
+    """Owns the report streams and forwards reports to the consumer."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self._links: dict[tuple[str, str], asyncio.Task[Any]] = {}
 
     def on_links_wanted(self, message: LinksWanted) -> None:
-        """Open what is missing and close what is no longer wanted."""
+        """Open missing streams and close those no longer wanted."""
         for link in set(self._links).difference(message.addresses):
             self._links.pop(link).cancel()
             self._consumer.post(AgentLost(link[0]))
@@ -73,33 +73,33 @@
                 self._links[link] = self.spawn(self._follow(*link))
 
     async def _follow(self, host: str, address: str) -> None:
-        ask = ReportAsk(
+        request = ReportAsk(
             host=self._runtime.cfg.process.host,
-            interval_s=REPORT_EVERY_S,
+            interval_s=REPORT_INTERVAL_S,
             entry=self._runtime.incarnation,
         )
         while True:
-            stream = self._peers.open(address, REPORTS, ask)
+            stream = self._peers.open(address, REPORTS, request)
             try:
                 async for report in stream:
                     self._consumer.post(ReportCame(report, address))
-                    self._tell(PeerAnswered(host))
+                    self._notify_knowledge(PeerAnswered(host))
             except CrowrudderError as exc:
                 self._log.debug('reports ended: %s', exc)
-                self._tell(PeerSilent(host, str(exc)))
+                self._notify_knowledge(PeerSilent(host, str(exc)))
             finally:
                 stream.cancel()
             self._consumer.post(AgentLost(host))
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
-    def _tell(self, message: PeerAnswered | PeerSilent) -> None:
-        """Let the members' view know as well: others hear of it from there."""
+    def _notify_knowledge(self, message: PeerAnswered | PeerSilent) -> None:
+        """Post to the knowledge task too, which informs other processes."""
         if self._knowledge is not None:
             self._knowledge.post(message)
 
 
 def links_of(snapshot: Snapshot, host: str) -> LinksWanted:
-    """Give the agents that an entry shall be linked to, service by service."""
+    """Return the agents that an entry opens streams to, for each service."""
     entries = [member.host for member in snapshot.by_role('entry')]
     by_service: defaultdict[str, list[str]] = defaultdict(list)
     agents = {member.host: member for member in snapshot.by_role('agent')}
--- a/packages/daemon/src/crowrudder_daemon/entry/_parts.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_parts.py
@@ -1,4 +1,4 @@
-"""What the request's task tells the caller's connection."""
+"""Final outcomes, sent by a request to the caller's connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @frozen(kw_only=True)
 class Ended:
-    """The final word on a request; exactly one goes to the caller."""
+    """The final outcome of a request; the caller gets exactly one."""
 
     outcome: Outcome
     code: str
@@ -29,12 +29,12 @@
 
     @property
     def http_status(self) -> int:
-        """The status code that says the same."""
+        """The HTTP status code of this outcome."""
         return self.status or STATUSES[self.outcome]
 
 
 def refused(code: str, status: int, retry_after_s: float = 0) -> Ended:
-    """Say that a request did not run."""
+    """Return the outcome of a request that did not run."""
     return Ended(
         outcome=Outcome.NOT_RUN,
         code=code,
@@ -45,5 +45,5 @@
 
 
 def outcome_unknown(code: str, message: str) -> Ended:
-    """Say that a request may have run."""
+    """Return the outcome of a request that may have run."""
     return Ended(outcome=Outcome.UNKNOWN, code=code, message=message)
--- a/packages/daemon/src/crowrudder_daemon/entry/_drive.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
@@ -1,4 +1,4 @@
-"""Carry one request through its attempts to exactly one final word."""
+"""Run one request through its attempts to exactly one final outcome."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from crowrudder_core.requests import RequestOwner, Vote
 from crowrudder_core.routing import Need
 from crowrudder_daemon.entry._attempt_call import AttemptCall
-from crowrudder_daemon.entry._caller_request import with_work
-from crowrudder_daemon.entry._claims import Claim, homes_among, take_claim
+from crowrudder_daemon.entry._caller_request import with_payload
+from crowrudder_daemon.entry._claims import Claim, acquire_claim, select_voters
 from crowrudder_daemon.entry._parts import Ended, outcome_unknown, refused
 from crowrudder_model import CrowrudderError, Outcome, PeerLostError
 from crowrudder_model.messages import Attempt, Piece, Queued, Refusal
@@ -19,30 +19,31 @@
 if TYPE_CHECKING:
     from crowrudder_daemon.entry._attempt_call import AgentRef
     from crowrudder_daemon.entry._caller_request import CallerRequest
-    from crowrudder_daemon.entry._drive_owner import DriveOwner
+    from crowrudder_daemon.entry._execution_owner import ExecutionOwner
     from crowrudder_daemon.rpc import PeerClient
 
 MOST_AT_ONCE = 2
-"""Attempts of one request that wait or run at the same time."""
+"""Maximum concurrent attempts of one request, queued or running."""
 
-NO_COST = frozenset(('draining', 'not_loaded', 'other_version'))
-"""Refusals that follow from old knowledge and took no slot anywhere.
+FREE_RETRY_REASONS = frozenset(('draining', 'not_loaded', 'other_version'))
+"""Refusals that stale reports cause and that occupied no slot.
 
-The entry learns of the state with the refusal, so they can't become a storm;
-spending the retry budget on them would fail requests during a plain rollout.
+The refusal itself updates the entry's view, so these retries can't become a
+retry storm. Charging them to the retry budget would fail requests during an
+ordinary rollout.
 """
 
-CONTENDED_RETRY_S = 2.0
+CONTENDED_RETRY_AFTER_S = 2.0
 
 
 @define(eq=False)
 class Drive:
-    """One request on its way; owned by the requests task."""
+    """The execution of one request; owned by the requests task."""
 
     req: CallerRequest
     owner: RequestOwner
     parts: asyncio.Queue[Piece | Ended]
-    _owner_task: DriveOwner
+    _owner_task: ExecutionOwner
     _peers: PeerClient
     next_index: int = 0
     version: str = ''
@@ -51,22 +52,22 @@
     _ended: asyncio.Queue[asyncio.Task[Ended | None]] = field(
         factory=asyncio.Queue,
     )
-    _search: asyncio.Task[None] | None = None
+    _second_search: asyncio.Task[None] | None = None
     _leader: AttemptCall | None = None
-    _avoid: set[str] = field(factory=set)
-    _left: set[str] = field(factory=set)
+    _tried_hosts: set[str] = field(factory=set)
+    _abandoned_hosts: set[str] = field(factory=set)
     _last_refusal: Refusal | None = None
     _free_retry: bool = True
 
     async def run(self) -> None:
-        """Go on until the caller has its final word."""
+        """Run until the caller has the final outcome."""
         ended = None
         try:
-            ended = await self._run_in_time()
+            ended = await self._run_until_deadline()
         except CrowrudderError as exc:
             ended = outcome_unknown('internal', str(exc))
         except Exception as exc:
-            # Without a final word the caller would wait for ever.
+            # Without a final outcome the caller would wait forever.
             self._owner_task.on_fault(exc)
             ended = outcome_unknown('internal', 'an error inside the entry')
         finally:
@@ -74,15 +75,15 @@
                 self._finish(ended)
 
     def withdraw(self) -> bool:
-        """Give up work whose caller has gone; false where it must go on."""
+        """Drop work of a disconnected caller; return whether that is allowed."""
         if self.owner.permit_out and not self.owner.idempotent:
             return False
         if self.owner.closed is None:
             self._close(Outcome.NOT_RUN)
         return True
 
-    def attempt(self, call: AttemptCall) -> Attempt:
-        """Give the message that opens an attempt."""
+    def attempt_message(self, call: AttemptCall) -> Attempt:
+        """Return the message that opens an attempt."""
         head = self.req.head
         attempt = Attempt(
             key=call.key,
@@ -94,24 +95,24 @@
             idempotent=head.idempotent,
             version=self.version,
         )
-        return with_work(attempt, self.req, self.next_index)
+        return with_payload(attempt, self.req, self.next_index)
 
     def grant(self, call: AttemptCall, version: str) -> bool:
-        """Decide on a permit; an answer begun goes on on its version alone."""
+        """Return whether to permit a run; a begun answer keeps its version."""
         if self.next_index and version != self.version:
             return False
         granted = self.owner.grant(call.key, now=_now())
         if granted:
             call.version = version
         if granted and not call.hedge:
-            self._drop_others(call)
+            self._cancel_others(call)
         return granted
 
-    def take(self, call: AttemptCall, piece: Piece) -> None:
-        """Hand a piece on if it is the next one of the attempt that leads.
+    def accept_piece(self, call: AttemptCall, piece: Piece) -> None:
+        """Forward a piece if it is the next one of the leading attempt.
 
-        Two attempts of a repeatable request may answer at once. The text of
-        one is passed on; a younger attempt takes over where it has caught up.
+        Two attempts of an idempotent request may answer concurrently. Only one
+        is forwarded; a newer attempt becomes the leader once it has caught up.
         """
         if call is not self._leader and not self._takes_over(call, piece):
             return
@@ -122,29 +123,29 @@
         self.next_index += 1
         self.parts.put_nowait(piece)
 
-    def note_refusal(
+    def record_refusal(
         self, call: AttemptCall, refusal: Refusal, *, is_free: bool = False
     ) -> None:
-        """Keep the reason and the time after which to come back.
+        """Record the reason and the time after which to retry.
 
-        ``is_free`` is set where no upstream saw anything of the attempt: were
-        it counted, the queue of an agent whose engine has died would use up
-        the retries of what the engine was running.
+        ``is_free`` is set if the attempt reached no upstream. If such retries
+        were charged, the queue of an agent whose engine has died would use up
+        the retry budget of the requests that the engine was running.
         """
         self._last_refusal = refusal
-        self._free_retry = is_free or refusal.reason in NO_COST
+        self._free_retry = is_free or refusal.reason in FREE_RETRY_REASONS
         self._owner_task.agents.on_refused(call.agent, refusal)
 
-    def note_outcome(self, call: AttemptCall, *, failed: bool) -> None:
-        """Tell the router what the run came to."""
+    def record_outcome(self, call: AttemptCall, *, failed: bool) -> None:
+        """Report to the router whether the run failed."""
         self._owner_task.agents.on_outcome(call.agent, failed=failed)
 
-    def note_lost(self, call: AttemptCall, exc: PeerLostError) -> None:
-        """Tell the router of a broken stream."""
+    def record_lost(self, call: AttemptCall, exc: PeerLostError) -> None:
+        """Report a broken stream to the router."""
         self._free_retry = False
         self._owner_task.agents.on_failed(call.agent, exc)
 
-    async def _run_in_time(self) -> Ended:
+    async def _run_until_deadline(self) -> Ended:
         left_s = self.owner.deadline - _now()
         try:
             async with asyncio.timeout(max(left_s, 0)):
@@ -154,7 +155,7 @@
             return self._not_run('deadline_passed', 'the deadline passed')
 
     async def _claim_id(self, left_s: float) -> Ended | None:
-        """Claim the id, so that it runs through no other entry as well."""
+        """Claim the id, so that it can't also run through another entry."""
         head = self.req.head
         if head.idempotent or head.id_made_here:
             return None
@@ -162,20 +163,20 @@
             head.request_id,
             owner=self.owner.entry,
             serial=self.owner.serial,
-            addresses=homes_among(
+            addresses=select_voters(
                 head.request_id,
                 self._owner_task.snapshot.members,
                 self._owner_task.snapshot.suspects,
             ),
         )
-        vote = await take_claim(self._peers, self.claim, budget_s=left_s)
+        vote = await acquire_claim(self._peers, self.claim, budget_s=left_s)
         match vote:
             case Vote.HELD:
                 return None
             case Vote.TAKEN:
                 return refused('already_used', 409)
             case Vote.CONTENDED:
-                return refused('contended', 503, CONTENDED_RETRY_S)
+                return refused('contended', 503, CONTENDED_RETRY_AFTER_S)
             case _:
                 return refused('claim_out_of_reach', 503, 1)
 
@@ -186,42 +187,45 @@
                 if ended is not None:
                     return ended
         finally:
-            if self._search is not None:
-                self._search.cancel()
-            self._drop_others(None)
+            if self._second_search is not None:
+                self._second_search.cancel()
+            self._cancel_others(None)
 
     async def _step(self) -> Ended | None:
-        """Start what is missing and wait for the next event."""
+        """Start an attempt if none is open and wait for the next event."""
         if not self._calls:
             ended = await self._start_next()
             if ended is not None:
                 return ended
         try:
-            async with asyncio.timeout(self._patience_s()):
+            async with asyncio.timeout(self._hedge_wait_s()):
                 job = await self._ended.get()
         except TimeoutError:
             self._hedge()
             return None
         call = self._calls.pop(job)
         if job.cancelled():
-            self._left.add(call.agent.host)
+            self._abandoned_hosts.add(call.agent.host)
             return None
-        self._avoid.add(call.agent.host)
+        self._tried_hosts.add(call.agent.host)
         return job.result()
 
     async def _start_next(self) -> Ended | None:
-        """Start the first attempt, or one more after all others ended."""
-        ask = self._owner_task.room_ask(self.req)
-        for need in self._needs():
-            agent = await self._owner_task.agents.choose_freshly(need, ask)
+        """Start the first attempt, or another after all others have ended."""
+        request = self._owner_task.capacity_request(self.req)
+        for need in self._needs_by_preference():
+            agent = await self._owner_task.agents.choose_with_query(
+                need, request
+            )
             if agent is not None:
                 break
         else:
             return self._no_agent()
         share = self._owner_task.share_of(self.req.head.customer)
-        late = agent.wait_s >= self.owner.deadline - _now()
-        if late and not share:
-            # Who has a share doesn't wait behind everybody; the agent knows.
+        misses_deadline = agent.wait_s >= self.owner.deadline - _now()
+        if misses_deadline and not share:
+            # A customer with a share doesn't wait behind all others; the agent
+            # knows its actual wait.
             return refused('overloaded', 503, agent.wait_s)
         if not self._free_retry and not self._owner_task.may_retry():
             return self._not_run('overloaded', 'the retry budget is spent')
@@ -245,33 +249,35 @@
         job.add_done_callback(self._ended.put_nowait)
         self._calls[job] = call
 
-    def note_queued(self, call: AttemptCall, queued: Queued) -> None:
-        """Look for a free slot elsewhere where the first agent has none.
+    def record_queued(self, call: AttemptCall, queued: Queued) -> None:
+        """Search for a free slot elsewhere if the first agent has none.
 
-        Reports are late; an agent's own word is fresh and costs a round trip
-        of one or two milliseconds, against hundreds for a run.
+        Reports lag behind. Querying an agent returns its current state for a
+        round trip of one or two milliseconds; a run takes hundreds.
         """
-        alone = len(self._calls) < MOST_AT_ONCE and self._search is None
-        if queued.wait_s <= 0 or not alone or not self.owner.may_hedge:
+        is_single = (
+            len(self._calls) < MOST_AT_ONCE and self._second_search is None
+        )
+        if queued.wait_s <= 0 or not is_single or not self.owner.may_hedge:
             return
         if self._owner_task.may_queue_twice():
-            self._search = self._owner_task.spawn(
-                self._find_room(queued.wait_s)
+            self._second_search = self._owner_task.spawn(
+                self._queue_at_second(queued.wait_s)
             )
 
-    async def _find_room(self, wait_s: float) -> None:
-        """Queue at a second agent too; who has a slot first gets the permit."""
-        busy = {call.agent.host for call in self._calls.values()}
-        agent = await self._owner_task.agents.ask_for_room(
-            self._need(also_avoid=busy),
-            self._owner_task.room_ask(self.req),
+    async def _queue_at_second(self, wait_s: float) -> None:
+        """Queue at a second agent too; the first free slot gets the permit."""
+        hosts_in_use = {call.agent.host for call in self._calls.values()}
+        agent = await self._owner_task.agents.choose_by_query(
+            self._need(also_avoid=hosts_in_use),
+            self._owner_task.capacity_request(self.req),
         )
-        sooner = agent is not None and agent.wait_s < wait_s
-        if agent is not None and sooner and self.owner.may_hedge:
+        is_sooner = agent is not None and agent.wait_s < wait_s
+        if agent is not None and is_sooner and self.owner.may_hedge:
             self._start(agent)
 
-    def _patience_s(self) -> float | None:
-        """Give how long to wait before a second attempt is worth its cost."""
+    def _hedge_wait_s(self) -> float | None:
+        """Return how long to wait before hedging; None if not allowed."""
         if not self.owner.may_hedge or len(self._calls) >= MOST_AT_ONCE:
             return None
         latest = max(call.progress_at for call in self._calls.values())
@@ -279,38 +285,39 @@
         return max(latest + patience_s - _now(), 0)
 
     def _hedge(self) -> None:
-        """Try a second agent when the first gives no sign of life.
+        """Start an attempt at a second agent if the first makes no progress.
 
-        It may be paused, or its upstream may accept and never answer.
+        The first agent may be paused, or its upstream may accept the request
+        and never answer.
         """
-        if self._patience_s() != 0:
+        if self._hedge_wait_s() != 0:
             return
         for call in self._calls.values():
             call.progress_at = _now()
         if self._owner_task.may_retry():
-            self._start_beside(hedge=self.owner.permit_out)
+            self._start_second(hedge=self.owner.permit_out)
 
-    def _start_beside(self, *, hedge: bool = False) -> None:
-        busy = {call.agent.host for call in self._calls.values()}
-        for need in self._needs(also_avoid=busy):
+    def _start_second(self, *, hedge: bool = False) -> None:
+        hosts_in_use = {call.agent.host for call in self._calls.values()}
+        for need in self._needs_by_preference(also_avoid=hosts_in_use):
             agent = self._owner_task.agents.choose(need)
             if agent is not None:
                 self._start(agent, hedge=hedge)
                 return
 
     def _takes_over(self, call: AttemptCall, piece: Piece) -> bool:
-        younger = (
+        is_newer = (
             self._leader is None or call.key.attempt > self._leader.key.attempt
         )
-        if not younger or piece.index != self.next_index:
+        if not is_newer or piece.index != self.next_index:
             return False
         self._leader = call
         self.version = call.version
-        self._drop_others(call)
+        self._cancel_others(call)
         return True
 
-    def _drop_others(self, kept: AttemptCall | None) -> None:
-        """Cancel the attempts that nobody waits for any more."""
+    def _cancel_others(self, kept: AttemptCall | None) -> None:
+        """Cancel all open attempts but one, here and at their agents."""
         for job, call in self._calls.items():
             if call is not kept and not job.done():
                 job.cancel()
@@ -347,18 +354,21 @@
             adapter=completion.adapter if completion else '',
             version=self.version,
             prefix=self.req.prefix,
-            avoid=frozenset(self._avoid | (also_avoid or set())),
+            avoid=frozenset(self._tried_hosts | (also_avoid or set())),
         )
 
-    def _needs(self, *, also_avoid: set[str] | None = None) -> list[Need]:
-        """Give what to choose by; who was left for another agent comes last.
+    def _needs_by_preference(
+        self, *, also_avoid: set[str] | None = None
+    ) -> list[Need]:
+        """Return selection criteria, the preferred ones first.
 
-        Such an agent was not tried in vain: the entry gave the place up.
+        Agents at which the entry cancelled a queued attempt are tried last.
+        They aren't excluded, since the attempt there didn't fail.
         """
         need = self._need(also_avoid=also_avoid)
-        if not self._left:
+        if not self._abandoned_hosts:
             return [need]
-        return [evolve(need, avoid=need.avoid | self._left), need]
+        return [evolve(need, avoid=need.avoid | self._abandoned_hosts), need]
 
     def _no_agent(self) -> Ended:
         refusal = self._last_refusal
--- a/packages/daemon/src/crowrudder_daemon/entry/_requests.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_requests.py
@@ -15,8 +15,8 @@
 from crowrudder_daemon.entry._admission import Admission
 from crowrudder_daemon.entry._agents import AgentPool
 from crowrudder_daemon.entry._claims import release_claim
-from crowrudder_daemon.entry._drive import Drive
 from crowrudder_daemon.entry._parts import Ended, refused
+from crowrudder_daemon.entry._request_execution import Drive
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_model.messages import RoomAsk
 
@@ -29,22 +29,22 @@
     from crowrudder_model.declared import Service
     from crowrudder_model.messages import Piece
 
-SECOND_PLACE_SHARE = 0.5
-"""Second places in queues as a share of the requests."""
+SECOND_QUEUE_SHARE = 0.5
+"""Second queue places as a share of the requests."""
 
 FORGET_EVERY_S = 30.0
 
 
 @frozen
 class SnapshotCame:
-    """Configuration or members changed."""
+    """The configuration or the members changed."""
 
     snapshot: Snapshot
 
 
 @frozen
 class RequestCame:
-    """A caller's request; parts of its answer go to the queue."""
+    """A caller's request; its answer is put on the queue in parts."""
 
     req: CallerRequest
     parts: asyncio.Queue[Piece | Ended]
@@ -59,7 +59,7 @@
 
 @frozen
 class ForgetOld:
-    """Time to drop remembered ids."""
+    """Remove expired request ids."""
 
 
 class RequestsTask(Task):
@@ -73,40 +73,40 @@
         self._peers = peers
         self.agents = AgentPool(runtime, peers)
         self._budget = RetryBudget(runtime.cfg.limits.retry_share)
-        self._second_places = RetryBudget(SECOND_PLACE_SHARE)
+        self._second_queue_budget = RetryBudget(SECOND_QUEUE_SHARE)
         self._admission = Admission(runtime.cfg.limits.max_concurrent)
         self._serial = 0
-        self._drives: dict[int, tuple[Drive, asyncio.Task[Any]]] = {}
-        self._shown_ends = runtime.metrics.counter(
+        self._executions: dict[int, tuple[Drive, asyncio.Task[Any]]] = {}
+        self._outcomes_counter = runtime.metrics.counter(
             'requests',
             'Requests by their final word.',
             labels=('outcome', 'code'),
         )
 
     def start(self) -> None:
-        """Start the loop and the clock that forgets."""
+        """Start the loop and the periodic removal of expired ids."""
         super().start()
         self.spawn(self._forget_for_ever())
 
     @property
     def running(self) -> int:
-        """Requests without their final word."""
-        return len(self._drives)
+        """Number of requests without a final outcome."""
+        return len(self._executions)
 
     def on_snapshot_came(self, message: SnapshotCame) -> None:
-        """Take the new picture."""
+        """Apply the new snapshot."""
         self.snapshot = message.snapshot
 
     def on_report_came(self, message: ReportCame) -> None:
-        """Take an agent's report."""
+        """Apply an agent's report."""
         self.agents.on_report(message.report, message.address)
 
     def on_agent_lost(self, message: AgentLost) -> None:
-        """Use an agent no more until it reports again."""
+        """Exclude an agent until it reports again."""
         self.agents.router.on_gone(message.host)
 
     def on_request_came(self, message: RequestCame) -> None:
-        """Start a request, or refuse it at once."""
+        """Start a request, or refuse it immediately."""
         now = self._now()
         entered = self._enter(message.req, now)
         if isinstance(entered, Ended):
@@ -115,7 +115,7 @@
             return
         req, head = entered, entered.head
         self._budget.on_first()
-        self._second_places.on_first()
+        self._second_queue_budget.on_first()
         self._serial += 1
         owner = RequestOwner(
             head.request_id,
@@ -124,48 +124,48 @@
             deadline=now + head.budget_s,
             serial=self._serial,
         )
-        drive = Drive(
+        execution = Drive(
             req,
             owner,
             message.parts,
             self,
             self._peers,
         )
-        job = self.spawn(drive.run())
-        self._drives[id(message.parts)] = (drive, job)
+        job = self.spawn(execution.run())
+        self._executions[id(message.parts)] = (execution, job)
         job.add_done_callback(lambda _: self._on_done(message.parts))
 
     async def idle(self) -> None:
-        """Wait until no request is left without its final word."""
-        while self._drives:
-            await asyncio.wait([job for _, job in self._drives.values()])
+        """Wait until every request has its final outcome."""
+        while self._executions:
+            await asyncio.wait([job for _, job in self._executions.values()])
 
     def on_caller_lost(self, message: CallerLost) -> None:
-        """Stop what nobody waits for, unless it runs and may not repeat."""
-        known = self._drives.get(id(message.parts))
+        """Stop the request, unless it may be running and isn't idempotent."""
+        known = self._executions.get(id(message.parts))
         if known is not None and known[0].withdraw():
             known[1].cancel()
 
     def on_forget_old(self, _message: ForgetOld) -> None:
-        """Drop ids whose window is over."""
+        """Remove ids whose retention window has passed."""
         self._admission.forget(now=self._now())
 
     def may_retry(self) -> bool:
-        """Spend one retry."""
+        """Return whether the retry budget allows a retry; consume one."""
         return self._budget.take()
 
     def may_queue_twice(self) -> bool:
-        """Spend one second place in a queue."""
-        return self._second_places.take()
+        """Return whether a second queue place is allowed; consume one."""
+        return self._second_queue_budget.take()
 
     def share_of(self, customer: str) -> float:
-        """Give the part of the slots that is declared for a customer."""
+        """Return the share of the slots that is declared for a customer."""
         bundle = self.snapshot.bundle
         known = bundle.declaration.customer(customer) if bundle else None
         return known.share if known else 0.0
 
-    def room_ask(self, req: CallerRequest) -> RoomAsk:
-        """Give the question for room for a request."""
+    def capacity_request(self, req: CallerRequest) -> RoomAsk:
+        """Return the capacity request for a caller's request."""
         customer = req.head.customer
         return RoomAsk(
             service=req.service,
@@ -174,26 +174,26 @@
         )
 
     def on_fault(self, exc: Exception) -> None:
-        """Report a fault that no one expected."""
+        """Report an unexpected exception."""
         self._runtime.fault('request', exc)
 
     def forget(self, request_id: str, claim: Claim | None) -> None:
-        """Let an id that never ran be used again, here and elsewhere."""
+        """Release an id that never ran, here and at its voters."""
         self._admission.free(request_id)
         if claim is not None:
             self.spawn(release_claim(self._peers, claim))
 
     def note_end(self, ended: Ended) -> None:
-        """Count a final word."""
-        self._shown_ends.add(outcome=ended.outcome.value, code=ended.code)
+        """Count a final outcome."""
+        self._outcomes_counter.add(outcome=ended.outcome.value, code=ended.code)
 
     def explain(self, customer: str, model: str) -> dict[str, Any]:
-        """Tell where a request would go now, and why.
+        """Return where a request would be routed now, and why.
 
         Raises
         ------
         UnknownNameError
-            Where no file declares the customer or the model.
+            If no file declares the customer or the model.
         """
         bundle = self.snapshot.bundle
         declared = bundle.declaration.customer(customer) if bundle else None
@@ -225,11 +225,11 @@
         return self._admission.enter(req, self.snapshot, now=now)
 
     def _on_done(self, parts: asyncio.Queue[Piece | Ended]) -> None:
-        drive, _ = self._drives.pop(id(parts))
-        self._admission.leave(drive.req.head.customer)
+        execution, _ = self._executions.pop(id(parts))
+        self._admission.leave(execution.req.head.customer)
 
     async def _forget_for_ever(self) -> None:
-        # Reports of agents that were there before come within seconds.
+        # Reports of agents that are already running arrive within seconds.
         await asyncio.sleep(FORGET_EVERY_S / 10)
         self.agents.router.on_started()
         while True:
--- a/packages/daemon/src/crowrudder_daemon/entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_role.py
@@ -1,4 +1,4 @@
-"""Put an entry together from its tasks."""
+"""Assemble an entry from its tasks."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     from crowrudder_model import Member
 
 LEAVE_GRACE_S = 1.0
-LATE_REQUESTS_S = 0.5
-"""How long an entry that stopped listening still answers what comes."""
+LATE_REQUEST_GRACE_S = 0.5
+"""How long an entry still answers requests after it stopped listening."""
 
 IDLE_CONNECTION_S = 60
 HEADERS_TIMEOUT_S = 10
 
 
 def build_entry(runtime: Runtime) -> EntryRole:
-    """Make the entry that the settings describe; nothing starts yet."""
+    """Return the entry that the settings describe, not yet started."""
     return EntryRole(runtime)
 
 
 class EntryRole:
-    """The entry's tasks and their order of start and stop."""
+    """The entry's tasks, with their start and stop order."""
 
     def __init__(self, runtime: Runtime) -> None:
         process = runtime.cfg.process
@@ -61,7 +61,7 @@
         self._port = CallersPort(self._http)
 
     async def start(self) -> None:
-        """Listen and begin to learn."""
+        """Start the tasks and listen for peers and callers."""
         process = self._runtime.cfg.process
         self.knowledge.serve(self._server)
         self.requests.start()
@@ -71,28 +71,29 @@
         self._port.listen(process.http_port, process.address)
 
     async def drain(self) -> None:
-        """Take nothing new, tell the peers, finish what runs."""
+        """Refuse new requests, notify peers and finish running requests."""
         self.requests.leaving = True
         await self.knowledge.leave()
         await self.requests.idle()
-        await self._answers.none_left()
+        await self._answers.wait_until_sent()
         self._port.close()
-        # A request may be on its way in a connection that was accepted. Closed
-        # now, its caller couldn't tell whether it ran; so it is refused.
-        await asyncio.sleep(LATE_REQUESTS_S)
+        # A request may be in transit on an accepted connection. If that were
+        # closed now, the caller couldn't tell whether it ran; so wait for
+        # such requests and refuse them.
+        await asyncio.sleep(LATE_REQUEST_GRACE_S)
         await self.requests.idle()
-        await self._answers.none_left()
+        await self._answers.wait_until_sent()
         await self._http.close_all_connections()
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop the servers and tasks and close connections to peers."""
         await self._server.stop(LEAVE_GRACE_S)
         for task in (self.links, self.requests, self.knowledge):
             await task.stop()
         await self._peers.close()
 
     def status(self) -> dict[str, Any]:
-        """Tell what is in force here and what runs."""
+        """Return the state in force and the number of running requests."""
         return {
             **self.knowledge.status(),
             'leaving': self.requests.leaving,
@@ -105,7 +106,7 @@
         }
 
     def readiness(self) -> list[str]:
-        """Give what keeps this entry from serving; empty when ready."""
+        """Return the reasons why this entry can't serve; empty when ready."""
         reasons = []
         if self.knowledge.hinders:
             reasons.append(self.knowledge.hinders)
@@ -116,15 +117,15 @@
         return reasons
 
     def members(self) -> tuple[Member, ...]:
-        """List the members that this process knows."""
+        """Return the members that this process knows."""
         return self.knowledge.snapshot.members
 
     def bundle(self) -> bytes:
-        """Give the bytes of the bundle in force."""
+        """Return the bytes of the bundle in force."""
         return self.knowledge.book.payload
 
     def explain(self, customer: str, model: str) -> dict[str, Any]:
-        """Tell where a request would go now, and why."""
+        """Return where a request would be routed now, and why."""
         return self.requests.explain(customer, model)
 
     def _on_snapshot(self, snapshot: Snapshot) -> None:
--- a/packages/daemon/src/crowrudder_daemon/entry/_size_gate.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_size_gate.py
@@ -1,8 +1,8 @@
-"""Refuse a body over the limit before it is read, with an error of our own.
+"""Refuse a body over the limit before it is read, with a descriptive error.
 
-Tornado itself answers a bare 400 to a `Content-Length` over its limit: the
-caller learns neither that nothing ran nor what is allowed. A body in chunks
-whose size isn't announced still gets that.
+Tornado itself answers a `Content-Length` over its limit with a bare 400,
+which says neither that nothing ran nor what is allowed. A body in chunks
+without a declared length still gets that answer.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 )
 from tornado.iostream import StreamClosedError
 
-from crowrudder_daemon.entry._caller_request import shown_id
+from crowrudder_daemon.entry._caller_request import answer_request_id
 from crowrudder_model import Outcome
 
 if TYPE_CHECKING:
@@ -33,19 +33,19 @@
     from tornado.iostream import IOStream
 
 LINGER_S = 2.0
-"""How long the caller may go on sending before the connection is closed."""
+"""How long the caller may keep sending before the connection is closed."""
 
-DROPPED_BYTES = 65_536
-_MOST_DIGITS = 18
+DISCARD_READ_BYTES = 65_536
+_MAX_DIGITS = 18
 
 
 class SizeGate(HTTPServerConnectionDelegate):
-    """Stand before an application and pass on what isn't too large.
+    """Wrap an application and forward requests within the size limit.
 
     Parameters
     ----------
     most_bytes
-        The longest body that is passed on.
+        The longest body that is forwarded.
     """
 
     def __init__(
@@ -62,12 +62,12 @@
         server_conn: object,
         request_conn: Any,
     ) -> HTTPMessageDelegate:
-        """Begin a request."""
+        """Return a delegate that checks the size of the request."""
         inner = self._inner.start_request(server_conn, request_conn)
         return _GatedRequest(inner, request_conn, self._most_bytes)
 
     def on_close(self, server_conn: object) -> None:
-        """Pass the end of a connection on."""
+        """Forward the end of a connection."""
         self._inner.on_close(server_conn)
 
 
@@ -87,8 +87,8 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
-        if is_longer(headers.get('Content-Length', ''), self._most_bytes):
-            return self._refuse(shown_id(headers))
+        if exceeds_limit(headers.get('Content-Length', ''), self._most_bytes):
+            return self._refuse(answer_request_id(headers))
         return self._inner.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
@@ -102,29 +102,29 @@
 
     async def _refuse(self, request_id: str) -> None:
         stream = self._conn.detach()
-        answer = too_large(request_id, self._most_bytes)
-        # A close before the caller has sent all would reset the connection,
-        # and the answer would be lost on its way.
+        answer = too_large_response(request_id, self._most_bytes)
+        # Closing before the caller has sent the whole body would reset the
+        # connection, and the answer would be lost.
         with contextlib.suppress(StreamClosedError, TimeoutError):
             async with asyncio.timeout(LINGER_S):
                 await stream.write(answer)
-                await _drop_rest(stream)
+                await _discard_rest(stream)
         stream.close()
 
 
-def is_longer(length: str, most_bytes: int) -> bool:
-    """Tell whether a `Content-Length` is a number over the limit.
+def exceeds_limit(length: str, most_bytes: int) -> bool:
+    """Return whether a `Content-Length` is a number over the limit.
 
     >>> is_longer('11', 10), is_longer('10', 10), is_longer('-1', 10)
     (True, False, False)
     """
     if not (length.isascii() and length.isdigit()):
         return False
-    return len(length) > _MOST_DIGITS or int(length) > most_bytes
+    return len(length) > _MAX_DIGITS or int(length) > most_bytes
 
 
-def too_large(request_id: str, most_bytes: int) -> bytes:
-    """Give the whole answer to a body over the limit."""
+def too_large_response(request_id: str, most_bytes: int) -> bytes:
+    """Return the complete HTTP response to a body over the limit."""
     body = msgspec.json.encode(
         {
             'error': {
@@ -146,6 +146,6 @@
     return '\r\n'.join((*lines, '', '')).encode() + body
 
 
-async def _drop_rest(stream: IOStream) -> None:
+async def _discard_rest(stream: IOStream) -> None:
     while True:
-        await stream.read_bytes(DROPPED_BYTES, partial=True)
+        await stream.read_bytes(DISCARD_READ_BYTES, partial=True)
--- a/tests/requests/test_explain.py
+++ b/tests/requests/test_explain.py
@@ -1,4 +1,4 @@
-"""What an entry says of where a request would go."""
+"""Tests of an entry's explanation of where a request would go."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from support.path import BUNDLE, SERVICE
 from support.settings import entry_settings
 
-STRANGER = bundle_of(
+BUNDLE_WITHOUT_ACCESS = bundle_of(
     Declaration(
         1,
         services=BUNDLE.declaration.services,
@@ -26,7 +26,7 @@
 )
 
 
-async def explained(bundle, customer, model):
+async def explain_in_entry(bundle, customer, model):
     runtime = Runtime(cfg=entry_settings(), log=logging.getLogger('test'))
     requests = RequestsTask(runtime, PeerClient())
     requests.on_snapshot_came(SnapshotCame(Snapshot(bundle)))
@@ -37,9 +37,11 @@
 
 
 class TestExplain:
-    def test_says_whether_the_customer_may(self):
-        assert run(explained(BUNDLE, 'small', SERVICE))['allowed']
-        answer = run(explained(STRANGER, 'stranger', SERVICE))
+    def test_states_whether_the_customer_is_allowed(self):
+        assert run(explain_in_entry(BUNDLE, 'small', SERVICE))['allowed']
+        answer = run(
+            explain_in_entry(BUNDLE_WITHOUT_ACCESS, 'stranger', SERVICE)
+        )
         assert not answer['allowed']
         assert answer['why'] == 'may not use this service'
 
@@ -47,11 +49,11 @@
         'names',
         [('nobody', SERVICE), ('small', 'nothing')],
     )
-    def test_undeclared_names_are_errors_that_name_them(self, names):
-        """Symptom: a mistyped customer looked like one without a route.
+    def test_undeclared_names_raise_errors_with_the_name(self, names):
+        """Guard against an empty explanation of an undeclared name.
 
-        Sequence: `crowrudder explain` with a name that no file declares.
-        Cause: the entry answered with no routes and no reason.
+        With no routes and no reason in the answer, a mistyped customer in
+        `crowrudder explain` looked like a declared one without a route.
         """
         with pytest.raises(UnknownNameError, match=r'nobody|nothing'):
-            run(explained(BUNDLE, *names))
+            run(explain_in_entry(BUNDLE, *names))
--- a/tests/requests/test_leaving_entry.py
+++ b/tests/requests/test_leaving_entry.py
@@ -1,4 +1,4 @@
-"""The HTTP side of an entry that leaves."""
+"""Tests of the HTTP interface of a leaving entry."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 )
 
 
-class Served:
+class ServedEntry:
     """An entry's application on a free port; for `async with`."""
 
-    async def __aenter__(self) -> Served:
+    async def __aenter__(self) -> ServedEntry:
         self.entry = start_entry(0)
         self.entry.requests.post(SnapshotCame(Snapshot(BUNDLE, MEMBERS)))
         socket, self.port = bind_unused_port()
@@ -44,7 +44,7 @@
         self.http.stop()
         await self.entry.kill()
 
-    async def listed(self) -> list[str]:
+    async def listed_hosts(self) -> list[str]:
         client = AsyncHTTPClient(force_instance=True)
         url = f'http://127.0.0.1:{self.port}/v1/entries'
         answer = await client.fetch(url)
@@ -52,48 +52,46 @@
 
 
 class TestEntries:
-    """The list that callers work with."""
+    """The list of entries that callers use."""
 
-    def test_callers_are_spread(self):
-        async def story() -> None:
-            async with Served() as served:
-                firsts = Counter(
-                    [(await served.listed())[0] for _ in range(80)],
+    def test_list_order_is_random(self):
+        async def scenario() -> None:
+            async with ServedEntry() as served:
+                first_hosts = Counter(
+                    [(await served.listed_hosts())[0] for _ in range(80)],
                 )
-                assert set(firsts) == {member.host for member in MEMBERS}
-                assert max(firsts.values()) < 45
+                assert set(first_hosts) == {member.host for member in MEMBERS}
+                assert max(first_hosts.values()) < 45
 
-        run(story())
+        run(scenario())
 
-    def test_a_leaving_entry_names_the_others(self):
-        """Symptom: a leaving entry goes on to name itself.
+    def test_a_leaving_entry_lists_only_the_others(self):
+        """Guard against a leaving entry that lists itself.
 
-        Sequence: it gets SIGTERM; the member list, which lags, still calls
-        it live; a caller asks it for the entries.
-        Cause: only the list was looked at.
+        After SIGTERM the member list lags and still shows the entry as live.
+        An entry that reads only that list names itself to callers.
         """
 
-        async def story() -> None:
-            async with Served() as served:
+        async def scenario() -> None:
+            async with ServedEntry() as served:
                 served.entry.requests.leaving = True
-                assert 'entry-0' not in await served.listed()
+                assert 'entry-0' not in await served.listed_hosts()
 
-        run(story())
+        run(scenario())
 
 
 class TestKeptConnection:
-    """A caller that keeps its connection to a leaving entry."""
+    """A caller with a keep-alive connection to a leaving entry."""
 
-    def test_it_is_closed_after_the_last_answer(self):
-        """Symptom: a leaving entry gets new requests until it ends.
+    def test_connection_is_closed_after_the_last_answer(self):
+        """Guard against new requests to a leaving entry until it ends.
 
-        Sequence: a caller keeps its connection and doesn't heed
-        `Connection: close`.
-        Cause: the header alone closes nothing on the entry's side.
+        A caller keeps its connection and ignores `Connection: close`; the
+        header alone doesn't close the connection on the entry's side.
         """
 
-        async def story() -> None:
-            async with Served() as served:
+        async def scenario() -> None:
+            async with ServedEntry() as served:
                 served.entry.requests.leaving = True
                 reader, writer = await asyncio.open_connection(
                     '127.0.0.1', served.port
@@ -109,4 +107,4 @@
                 assert b'Retry-After: 1' in answer
                 writer.close()
 
-        run(story())
+        run(scenario())
--- a/tests/requests/test_path.py
+++ b/tests/requests/test_path.py
@@ -1,4 +1,4 @@
-"""Requests from entry to agent over real calls, with faults on the way."""
+"""Tests of requests from entry to agent over real RPC, with faults."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from attrs import evolve
 
 from crowrudder_daemon.agent._run_messages import DrainRuns
-from crowrudder_daemon.entry._claims import homes_among
+from crowrudder_daemon.entry._claims import select_voters
 from crowrudder_daemon.entry._requests import CallerLost
 from crowrudder_model import Member, Outcome
 from support.aio import run
 from support.path import Path, final, start_entry, until
 
 
-def ran(path: Path, request_id: str) -> int:
-    """Count the runs in the upstreams' own books."""
+def count_runs(path: Path, request_id: str) -> int:
+    """Count the runs in the request logs of the upstreams."""
     return sum(agent.upstream.ran.count(request_id) for agent in path.agents)
 
 
-def held(path: Path) -> int:
-    """Count the claims that homes keep."""
+def count_claims(path: Path) -> int:
+    """Count the claims that the voters hold."""
     books = [agent.claims.book for agent in path.agents]
     return sum(len(book.held(now=0.0)) for book in books)
 
@@ -30,77 +30,77 @@
         agent.upstream.gate.set()
 
 
-async def begun(path: Path, request_id: str) -> int:
-    """Wait until an upstream began a request; give the agent's index."""
-    await until(lambda: ran(path, request_id))
+async def wait_until_begun(path: Path, request_id: str) -> int:
+    """Wait until an upstream begins a request; return the agent's index."""
+    await until(lambda: count_runs(path, request_id))
     books = [agent.upstream.ran for agent in path.agents]
     return next(index for index, ids in enumerate(books) if request_id in ids)
 
 
 class TestRepeatedIds:
-    """The same id through several entries."""
+    """The same request id sent through several entries."""
 
-    def test_at_once_and_later_it_runs_once(self):
-        """Symptom: an enquiry reaches the seller twice.
+    def test_concurrent_and_later_repeats_run_once(self):
+        """Guard against a request that runs twice through two entries.
 
-        Sequence: the caller sends the id through one entry and, while it
-        runs and again after it ended, through another.
-        Cause: each entry knew only the ids that went through itself.
+        The caller sends the id through one entry, and through another both
+        while it runs and after it ended. An entry that knows only its own
+        ids runs it again, and an enquiry reaches the seller twice.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=5, entries=2) as path:
                 first, second = path.entries
                 running = first.ask('enquiry')
-                await begun(path, 'enquiry')
+                await wait_until_begun(path, 'enquiry')
                 at_once = await final(second.ask('enquiry'))
                 open_gates(path)
                 answered = await final(running)
                 later = await final(second.ask('enquiry'))
                 assert answered.outcome is Outcome.ANSWERED
                 assert (at_once.http_status, later.http_status) == (409, 409)
-                assert ran(path, 'enquiry') == 1
+                assert count_runs(path, 'enquiry') == 1
 
-        run(story())
+        run(scenario())
 
     def test_after_the_entry_died_it_does_not_run_again(self):
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=5, entries=2) as path:
                 first, second = path.entries
                 first.ask('enquiry')
-                await begun(path, 'enquiry')
+                await wait_until_begun(path, 'enquiry')
                 await first.kill()
                 open_gates(path)
                 again = await final(second.ask('enquiry'))
                 assert again.http_status == 409
-                assert ran(path, 'enquiry') == 1
+                assert count_runs(path, 'enquiry') == 1
 
-        run(story())
+        run(scenario())
 
     def test_after_the_agent_died_it_does_not_run_again(self):
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=6, entries=2) as path:
                 first, second = path.entries
                 running = first.ask('enquiry')
-                index = await begun(path, 'enquiry')
+                index = await wait_until_begun(path, 'enquiry')
                 await path.agents[index].kill()
                 lost = await final(running)
                 again = await final(second.ask('enquiry'))
                 assert lost.outcome is Outcome.UNKNOWN
                 assert again.outcome is Outcome.NOT_RUN
-                assert ran(path, 'enquiry') == 1
+                assert count_runs(path, 'enquiry') == 1
 
-        run(story())
+        run(scenario())
 
-    def test_after_its_homes_restarted_one_by_one_it_does_not_run_again(self):
-        """Symptom: an id runs again after a rolling restart.
+    def test_after_a_rolling_restart_of_voters_it_does_not_run_again(self):
+        """Guard against an id that runs again after a rolling restart.
 
-        Sequence: it ran; every agent is drained and started anew; the id
-        comes again through another entry.
-        Cause: each home's memory ended with its process.
+        The id ran, every agent is drained and restarted, and the id is sent
+        again through another entry. Voters that keep claims only in the
+        memory of their process have lost the claim.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=5, entries=2) as path:
                 open_gates(path)
                 first, second = path.entries
@@ -110,12 +110,12 @@
                     agent.claims.book = type(agent.claims.book)()
                 again = await final(second.ask('enquiry'))
                 assert again.http_status == 409
-                assert ran(path, 'enquiry') == 1
+                assert count_runs(path, 'enquiry') == 1
 
-        run(story())
+        run(scenario())
 
     def test_an_id_that_never_ran_is_free_again(self):
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=5, entries=2) as path:
                 open_gates(path)
                 for agent in path.agents:
@@ -126,37 +126,37 @@
                 for agent in path.agents:
                     agent.runs.state.leaving = False
                 path.tell()
-                await until(lambda: not held(path))
+                await until(lambda: not count_claims(path))
                 answered = await final(second.ask('enquiry'))
                 assert answered.outcome is Outcome.ANSWERED
 
-        run(story())
+        run(scenario())
 
-    def test_an_id_told_not_run_runs_at_the_same_agent_later(self):
-        """Symptom: "not run" again and again from a service of one replica.
+    def test_an_id_answered_not_run_runs_later_at_the_same_agent(self):
+        """Guard against repeated "not run" from a service of one replica.
 
-        Sequence: the id waits in the only agent's queue past its deadline;
-        the caller sends it again through the same entry.
-        Cause: attempts of both requests had the same key, so that the agent
-        took the second for a doubled message.
+        The id waits in the only agent's queue past its deadline, and the
+        caller sends it again through the same entry. If attempts of both
+        requests have the same key, the agent takes the second for a
+        duplicate message.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=1) as path:
                 entry = path.entries[0]
                 for number in (1, 2):
                     entry.ask(f'r{number}', made_here=True)
-                await begun(path, 'r2')
+                await wait_until_begun(path, 'r2')
                 late = await final(entry.ask('enquiry', budget_s=0.2))
                 assert late.outcome is Outcome.NOT_RUN
                 open_gates(path)
                 again = await final(entry.ask('enquiry'))
                 assert again.outcome is Outcome.ANSWERED
 
-        run(story())
+        run(scenario())
 
-    def test_out_of_reach_of_the_homes_nothing_runs(self):
-        async def story() -> None:
+    def test_nothing_runs_without_reachable_voters(self):
+        async def scenario() -> None:
             async with Path(agents=5) as path:
                 open_gates(path)
                 for agent in path.agents[:2]:
@@ -168,46 +168,47 @@
                 assert refused.retry_after_s > 0
                 own = await final(entry.ask('made-here', made_here=True))
                 assert own.outcome is Outcome.ANSWERED
-                assert not ran(path, 'enquiry')
+                assert not count_runs(path, 'enquiry')
 
-        run(story())
+        run(scenario())
 
 
 class TestHomesInUse:
-    """Which listed agents are asked."""
+    """Selection of voters from the member list."""
 
     MEMBERS = tuple(
         Member(f'agent-{number}', 'agent', '127.0.0.1') for number in range(3)
     )
 
-    def test_a_leaving_agent_is_no_home(self):
-        """Symptom: two of three requests are refused during a drain.
+    def test_a_leaving_agent_is_no_voter(self):
+        """Guard against two of three requests being refused during a drain.
 
-        Sequence: one of three agents is drained and ends; the list, which
-        lags, goes on to name it.
-        Cause: all three had to grant each claim.
+        One of three agents is drained and ends, and the member list, which
+        lags, still contains it. Claims fail if all three must grant them.
         """
         leaving = evolve(self.MEMBERS[0], state='leaving')
-        homes = homes_among('r', (leaving, *self.MEMBERS[1:]))
+        homes = select_voters('r', (leaving, *self.MEMBERS[1:]))
         assert set(homes) == {'agent-1', 'agent-2'}
 
-    def test_one_that_seems_dead_is_left_out_but_not_several(self):
-        assert len(homes_among('r', self.MEMBERS, {'agent-1'})) == 2
-        assert len(homes_among('r', self.MEMBERS, {'agent-1', 'agent-2'})) == 3
+    def test_a_single_suspect_is_excluded_but_not_several(self):
+        assert len(select_voters('r', self.MEMBERS, {'agent-1'})) == 2
+        assert (
+            len(select_voters('r', self.MEMBERS, {'agent-1', 'agent-2'})) == 3
+        )
 
 
 class TestFrozenAgent:
-    """A host whose process is paused: it accepts and never speaks."""
+    """A paused host: it accepts connections and sends nothing."""
 
-    def test_the_final_word_comes_at_the_deadline(self):
-        """Symptom: a caller waits for ever.
+    def test_the_final_outcome_arrives_at_the_deadline(self):
+        """Guard against a caller that waits forever.
 
-        Sequence: the only agent's host accepts the connection and says
-        nothing; the deadline passes; the entry tells it to cancel.
-        Cause: the final word waited for the cancel to be sent.
+        The only agent's host accepts the connection and sends nothing. The
+        deadline passes and the entry sends it a cancel. The final outcome
+        must not wait until that cancel is sent.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
             port = server.sockets[0].getsockname()[1]
             async with Path(agents=1) as path:
@@ -223,10 +224,10 @@
                 assert agent.upstream.ran == []
             server.close()
 
-        run(story())
+        run(scenario())
 
     def test_another_agent_takes_over(self):
-        async def story() -> None:
+        async def scenario() -> None:
             server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
             port = server.sockets[0].getsockname()[1]
             async with Path(agents=2) as path:
@@ -236,65 +237,65 @@
                 )
                 path.tell()
                 entry = path.entries[0]
-                asked = [entry.ask(f'r{n}', made_here=True) for n in range(6)]
-                ends = [await final(parts) for parts in asked]
+                queues = [entry.ask(f'r{n}', made_here=True) for n in range(6)]
+                ends = [await final(parts) for parts in queues]
                 answered = [end.outcome is Outcome.ANSWERED for end in ends]
                 assert any(answered)
-                assert all(ran(path, f'r{n}') <= 1 for n in range(6))
+                assert all(count_runs(path, f'r{n}') <= 1 for n in range(6))
             server.close()
 
-        run(story())
+        run(scenario())
 
 
 class TestLostAgent:
-    """An agent that dies with a run under way."""
+    """An agent that dies during a run."""
 
-    def test_a_repeatable_request_goes_on_elsewhere(self):
-        async def story() -> None:
+    def test_an_idempotent_request_continues_elsewhere(self):
+        async def scenario() -> None:
             async with Path(agents=3) as path:
                 running = path.entries[0].ask('r', idempotent=True)
-                index = await begun(path, 'r')
+                index = await wait_until_begun(path, 'r')
                 open_gates(path)
                 await path.agents[index].kill()
                 ended = await final(running)
                 assert ended.outcome is Outcome.ANSWERED
                 assert ended.pieces == 3
 
-        run(story())
+        run(scenario())
 
-    def test_what_may_not_repeat_is_unknown_at_once(self):
-        async def story() -> None:
+    def test_a_request_that_is_not_idempotent_is_unknown_immediately(self):
+        async def scenario() -> None:
             async with Path(agents=3) as path:
                 running = path.entries[0].ask('r', made_here=True)
-                index = await begun(path, 'r')
+                index = await wait_until_begun(path, 'r')
                 async with asyncio.timeout(3):
                     await path.agents[index].kill()
                     ended = await final(running)
                 assert ended.outcome is Outcome.UNKNOWN
-                assert ran(path, 'r') == 1
+                assert count_runs(path, 'r') == 1
 
-        run(story())
+        run(scenario())
 
 
 class TestLostUpstream:
-    """An upstream that dies beside an agent that lives."""
+    """An upstream that dies while its agent stays alive."""
 
-    def test_those_it_refused_use_up_no_retry_of_what_it_was_running(self):
-        """A stream that may repeat ended broken though another engine lived.
+    def test_refused_connections_consume_no_retries_of_running_requests(self):
+        """Guard against a failed idempotent stream while another engine lives.
 
-        Symptom: a repeatable request ends neither whole nor as not run, 82 ms
-        after its beginning. Sequence: an engine is killed, its agent goes on
-        handing over what is queued, each is refused a connection and tried
-        elsewhere, and so is what the engine was running. Cause: each refused
-        connection spent one of the retries, though no upstream saw anything
-        of it, and none was left for the request that had begun.
+        An engine is killed and its agent keeps forwarding queued requests.
+        Each gets a refused connection and is retried elsewhere, as is the
+        request that the engine was running. If each refused connection
+        consumes a retry, though it reached no upstream, none is left for the
+        request that had begun. That request ended neither complete nor as
+        not run, 82 ms after it began.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=2) as path:
                 entry = path.entries[0]
                 running = entry.ask('r', idempotent=True)
-                index = await begun(path, 'r')
+                index = await wait_until_begun(path, 'r')
                 lost = path.agents[index].upstream
                 lost.is_gone = True
                 path.agents[1 - index].upstream.gate.set()
@@ -312,37 +313,37 @@
                 assert ended.outcome is Outcome.ANSWERED
                 assert ended.pieces == 3
 
-        run(story())
+        run(scenario())
 
 
 class TestCallerLeaves:
     """A caller that closes its connection."""
 
-    def test_a_repeatable_run_is_cancelled_at_the_engine(self):
-        """Symptom: engines go on writing for callers that have gone.
+    def test_an_idempotent_run_is_cancelled_at_the_engine(self):
+        """Guard against engines that keep generating for gone callers.
 
-        Sequence: the caller leaves; the entry cancels the request's job.
-        Cause: the cancelled read had ended the stream that the cancel was
-        to be sent on.
+        The caller disconnects and the entry cancels the request's job. The
+        cancelled read ends the stream, so a cancel sent on the same stream
+        never arrives.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=1) as path:
                 entry, upstream = path.entries[0], path.agents[0].upstream
                 parts = entry.ask('r', idempotent=True)
-                await begun(path, 'r')
+                await wait_until_begun(path, 'r')
                 entry.requests.post(CallerLost(parts))
                 await until(lambda: upstream.cancelled)
                 await until(lambda: not path.agents[0].runs.state.running)
 
-        run(story())
+        run(scenario())
 
-    def test_what_still_waits_is_taken_out_of_the_queue(self):
-        async def story() -> None:
+    def test_a_queued_request_is_removed_from_the_queue(self):
+        async def scenario() -> None:
             async with Path(agents=1) as path:
                 entry, agent = path.entries[0], path.agents[0]
                 running = [entry.ask(f'r{n}', made_here=True) for n in (1, 2)]
-                await begun(path, 'r2')
+                await wait_until_begun(path, 'r2')
                 parts = entry.ask('waits', made_here=True)
                 await until(lambda: agent.runs.state.queued)
                 entry.requests.post(CallerLost(parts))
@@ -350,38 +351,37 @@
                 open_gates(path)
                 for each in running:
                     assert (await final(each)).outcome is Outcome.ANSWERED
-                assert not ran(path, 'waits')
+                assert not count_runs(path, 'waits')
 
-        run(story())
+        run(scenario())
 
-    def test_a_run_that_may_not_repeat_goes_on(self):
-        async def story() -> None:
+    def test_a_run_that_is_not_idempotent_continues(self):
+        async def scenario() -> None:
             async with Path(agents=1) as path:
                 entry = path.entries[0]
                 parts = entry.ask('r')
-                await begun(path, 'r')
+                await wait_until_begun(path, 'r')
                 entry.requests.post(CallerLost(parts))
                 open_gates(path)
                 ended = await final(parts)
                 assert ended.outcome is Outcome.ANSWERED
                 assert not path.agents[0].upstream.cancelled
 
-        run(story())
+        run(scenario())
 
 
 class TestDrain:
     """Agents that leave."""
 
-    def test_a_refusal_to_drain_costs_no_retry(self):
-        """Symptom: requests are refused while most hosts could serve.
+    def test_a_refusal_by_a_draining_agent_consumes_no_retry(self):
+        """Guard against refused requests while other hosts could serve.
 
-        Sequence: several agents leave at once; requests sent on old reports
-        are refused by them; the retry budget is used up.
-        Cause: a refusal that only old knowledge had caused counted as a
-        retry under failure.
+        Several agents leave at once and refuse requests that were routed by
+        stale reports. If such refusals count as retries after failures, they
+        use up the retry budget.
         """
 
-        async def story() -> None:
+        async def scenario() -> None:
             async with Path(agents=6) as path:
                 open_gates(path)
                 for agent in path.agents[:5]:
@@ -389,23 +389,23 @@
                         DrainRuns(asyncio.get_running_loop().create_future())
                     )
                 entry = path.entries[0]
-                asked = [entry.ask(f'r{n}', made_here=True) for n in range(10)]
-                ends = [await final(parts) for parts in asked]
+                queues = [entry.ask(f'r{n}', made_here=True) for n in range(10)]
+                ends = [await final(parts) for parts in queues]
                 assert {end.outcome for end in ends} == {Outcome.ANSWERED}
                 assert len(path.agents[5].upstream.ran) == 10
 
-        run(story())
+        run(scenario())
 
 
 class TestNewEntry:
     """An entry that has just started."""
 
-    def test_without_a_configuration_it_refuses_at_once(self):
-        async def story() -> None:
+    def test_without_a_configuration_it_refuses_immediately(self):
+        async def scenario() -> None:
             entry = start_entry(9)
             ended = await final(entry.ask('r'))
             assert ended.code == 'no_configuration'
             assert ended.retry_after_s > 0
             await entry.kill()
 
-        run(story())
+        run(scenario())
--- a/tests/requests/test_slow_reader.py
+++ b/tests/requests/test_slow_reader.py
@@ -14,8 +14,8 @@
 from support.aio import run
 from support.settings import entry_settings
 
-LONG = b'x' * 32_000_000
-CALL = (
+LONG_BODY = b'x' * 32_000_000
+REQUEST = (
     b'GET /v1/services/portal/ HTTP/1.1\r\nHost: a\r\n'
     b'X-Customer: desk\r\nConnection: close\r\n\r\n'
 )
@@ -27,28 +27,28 @@
         return probe.getsockname()[1]
 
 
-def answer_at_once(message):
-    """Stand in for the requests' task: one long answer."""
+def post_long_answer(message):
+    """Replace the requests task: post one long answer."""
     if isinstance(message, RequestCame):
-        piece = Piece(request_id='r', version='plain', index=0, body=LONG)
+        piece = Piece(request_id='r', version='plain', index=0, body=LONG_BODY)
         message.parts.put_nowait(piece)
         message.parts.put_nowait(
             Ended(outcome=Outcome.ANSWERED, code='ok', status=200, pieces=1)
         )
 
 
-async def bytes_read_across_a_drain():
+async def read_during_drain():
     port = free_port()
     cfg = entry_settings(http_port=port, rpc_port=free_port())
     runtime = Runtime(cfg=cfg, log=logging.getLogger('test'))
     role = build_entry(runtime)
-    with mock.patch.object(role.requests, 'post', answer_at_once):
+    with mock.patch.object(role.requests, 'post', post_long_answer):
         await role.start()
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
-        writer.write(CALL)
+        writer.write(REQUEST)
         head = await reader.readuntil(b'\r\n\r\n')
         drain = asyncio.ensure_future(role.drain())
-        # Two turns of the loop let a drain that doesn't wait go through.
+        # A drain that doesn't wait needs two loop iterations to finish.
         await asyncio.wait({drain}, timeout=0.2)
         body = await reader.read()
         writer.close()
@@ -59,14 +59,14 @@
 
 
 class TestSlowReader:
-    """Symptom: a truncated answer while an entry is drained.
+    """Guard against a truncated answer while an entry is drained.
 
-    Sequence: an answer has ended and lies in the entry's buffer; its caller
-    reads slowly; SIGTERM. Cause: the drain waited for the requests' final
-    words, not for their last bytes, and closed the connections.
+    An answer has ended and is still in the entry's buffer, since its caller
+    reads slowly, when SIGTERM arrives. A drain that waits only for the final
+    outcomes of requests, not for their last bytes, closes the connection.
     """
 
-    def test_gets_the_whole_answer(self):
-        head, body = run(bytes_read_across_a_drain())
+    def test_gets_the_complete_answer(self):
+        head, body = run(read_during_drain())
         assert b' 200 ' in head
-        assert len(body) == len(LONG)
+        assert len(body) == len(LONG_BODY)
--- a/tests/requests/test_two_places.py
+++ b/tests/requests/test_two_places.py
@@ -1,4 +1,4 @@
-"""A request that waits at two agents, and what becomes of the second place."""
+"""Tests of a request queued at two agents, then cancelled at one."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 @contextlib.asynccontextmanager
-async def left_for_another():
-    """Bring a request to run at one agent, its place at the other given up.
+async def request_with_cancelled_queue_place():
+    """Run a request at one agent after cancelling its place at the other.
 
-    Gives both agents and the request's parts.
+    Yields the serving agent, the other agent and the parts of the answer.
     """
     async with Path(agents=2, entries=2) as path:
-        one, other = path.agents
+        serving, other = path.agents
         entry, busy = path.entries
         entry.requests._budget.balance = RETRIES
         holders = {
@@ -34,44 +34,51 @@
         await until(
             lambda: all(agent.runs.state.queued for agent in path.agents)
         )
-        busy.requests.post(CallerLost(holders[one.upstream.ran[0]]))
-        await until(lambda: 'r' in one.upstream.ran)
+        busy.requests.post(CallerLost(holders[serving.upstream.ran[0]]))
+        await until(lambda: 'r' in serving.upstream.ran)
         await until(lambda: not other.runs.state.queued)
         other.upstream.gate.set()
-        yield one, other, parts
+        yield serving, other, parts
 
 
 class TestLeftForAnother:
-    def test_it_is_asked_again_as_the_other_dies(self):
-        """A repeatable request ended unknown though another agent lived.
-
-        Symptom: "no replica can serve this now" for a stream that had begun
-        and may be repeated. Sequence: it waits at two agents, one gives it a
-        slot, its place at the other is given up, and the one is killed.
-        Cause: the agent at which the entry itself had given the place up
-        counted as one that was tried in vain.
+    def test_its_agent_is_retried_when_the_serving_agent_dies(self):
+        """Guard against an idempotent stream that fails while an agent lives.
+
+        The request waits at two agents. One gives it a slot, its queue place
+        at the other is cancelled, and the first is killed. If the agent where
+        the entry itself cancelled the place counts as tried, the request ends
+        as unknown with "no replica can serve this now".
         """
 
-        async def story() -> None:
-            async with left_for_another() as (one, _, parts):
-                await one.kill()
+        async def scenario() -> None:
+            async with request_with_cancelled_queue_place() as (
+                serving,
+                _,
+                parts,
+            ):
+                await serving.kill()
                 ended = await final(parts)
                 assert ended.outcome is Outcome.ANSWERED, ended.message
                 assert ended.pieces == 3
 
-        run(story())
+        run(scenario())
 
-    def test_it_is_asked_again_as_the_other_falls_silent(self):
-        """A repeatable request waited for one agent to its deadline.
+    def test_its_agent_is_retried_when_the_serving_agent_stalls(self):
+        """Guard against waiting for one agent until the deadline.
 
-        Symptom, sequence and cause as above, but that the one stands still.
+        As above, but the serving agent stops responding instead of dying.
         """
 
-        async def story() -> None:
-            async with left_for_another() as (_, other, parts):
+        async def scenario() -> None:
+            async with request_with_cancelled_queue_place() as (
+                _,
+                other,
+                parts,
+            ):
                 async with asyncio.timeout(4):
                     ended = await final(parts)
                 assert ended.outcome is Outcome.ANSWERED, ended.message
                 assert 'r' in other.upstream.ran
 
-        run(story())
+        run(scenario())
