--- a/packages/daemon/src/crowrudder_daemon/entry/_admission.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_admission.py
@@ -65,7 +65,7 @@
         """Release the slot of a request."""
         self._shares.leave(customer)
 
-    def free(self, request_id: str) -> None:
+    def release_id(self, request_id: str) -> None:
         """Allow an id that never ran to be used again.
 
         A caller that is told to retry sends the same id again. If the id were
@@ -73,7 +73,7 @@
         """
         self._seen.pop(request_id, None)
 
-    def forget(self, *, now: float) -> None:
+    def remove_expired(self, *, now: float) -> None:
         """Remove ids whose retention window has passed."""
         self._seen = {
             request_id: until
--- a/packages/daemon/src/crowrudder_daemon/entry/_attempt_call.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_attempt_call.py
@@ -167,8 +167,8 @@
         text in an answer that looks complete. Duplicates are ignored; the
         other two end the attempt.
         """
-        own = piece.request_id == self.key.request_id
-        if not own or piece.version != self.version:
+        is_own = piece.request_id == self.key.request_id
+        if not is_own or piece.version != self.version:
             raise self._crossed_answer('a piece of another answer')
         if piece.index < self.next_index:
             return
@@ -196,9 +196,9 @@
                 return self._failed(outcome, 'upstream_failed', final.message)
 
     def _answered(self, final: Final) -> Ended:
-        own = final.request_id == self.key.request_id
+        is_own = final.request_id == self.key.request_id
         is_complete = final.pieces == self.next_index
-        if not (own and is_complete and final.version == self.version):
+        if not (is_own and is_complete and final.version == self.version):
             raise self._crossed_answer('the answer is not whole')
         self._request.owner.ended(self.key, Outcome.ANSWERED)
         self._request.record_outcome(self, failed=False)
--- a/packages/daemon/src/crowrudder_daemon/entry/_execution_owner.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_execution_owner.py
@@ -39,7 +39,7 @@
     def on_fault(self, exc: Exception) -> None:
         """Report an unexpected exception."""
 
-    def forget(self, request_id: str, claim: Claim | None) -> None:
+    def release_id(self, request_id: str, claim: Claim | None) -> None:
         """Release an id that never ran, here and at its voters."""
 
     def note_end(self, ended: Ended) -> None:
--- a/packages/daemon/src/crowrudder_daemon/entry/_handlers.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_handlers.py
@@ -176,7 +176,7 @@
         if isinstance(conn, HTTP1Connection):
             conn.close()
 
-    def _head(self) -> CallHead:
+    def _parse_head(self) -> CallHead:
         limits = self._runtime.cfg.limits
         head = parse_head(
             self.request.headers,
@@ -243,7 +243,7 @@
             await self._send_complete(req)
 
     def _parse(self) -> CallerRequest:
-        head = self._head()
+        head = self._parse_head()
         completion = parse_completion(self.request.body)
         service = self._requests.service_of(completion.model)
         if self._requests.snapshot.bundle is not None:
@@ -318,7 +318,7 @@
         self.finish(b''.join(piece.body for piece in pieces))
 
     def _parse(self, service: str, path: str) -> CallerRequest:
-        head = self._head()
+        head = self._parse_head()
         known = self._requests.service_of(service)
         # Without a bundle no service is known; the requests task refuses.
         has_bundle = self._requests.snapshot.bundle is not None
--- a/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
@@ -344,7 +344,7 @@
     def _close(self, outcome: Outcome) -> Outcome:
         closed = self.owner.close(outcome)
         if closed is Outcome.NOT_RUN:
-            self._owner_task.forget(self.owner.request_id, self.claim)
+            self._owner_task.release_id(self.owner.request_id, self.claim)
         return closed
 
     def _need(self, *, also_avoid: set[str] | None = None) -> Need:
--- a/packages/daemon/src/crowrudder_daemon/entry/_requests.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_requests.py
@@ -135,7 +135,7 @@
         self._executions[id(message.parts)] = (execution, job)
         job.add_done_callback(lambda _: self._on_done(message.parts))
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until every request has its final outcome."""
         while self._executions:
             await asyncio.wait([job for _, job in self._executions.values()])
@@ -148,7 +148,7 @@
 
     def on_forget_old(self, _message: ForgetOld) -> None:
         """Remove ids whose retention window has passed."""
-        self._admission.forget(now=self._now())
+        self._admission.remove_expired(now=self._now())
 
     def may_retry(self) -> bool:
         """Return whether the retry budget allows a retry; consume one."""
@@ -177,9 +177,9 @@
         """Report an unexpected exception."""
         self._runtime.fault('request', exc)
 
-    def forget(self, request_id: str, claim: Claim | None) -> None:
+    def release_id(self, request_id: str, claim: Claim | None) -> None:
         """Release an id that never ran, here and at its voters."""
-        self._admission.free(request_id)
+        self._admission.release_id(request_id)
         if claim is not None:
             self.spawn(release_claim(self._peers, claim))
 
--- a/packages/daemon/src/crowrudder_daemon/entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_role.py
@@ -20,7 +20,7 @@
     from crowrudder_daemon.process import Runtime
     from crowrudder_model import Member
 
-LEAVE_GRACE_S = 1.0
+STOP_GRACE_S = 1.0
 LATE_REQUEST_GRACE_S = 0.5
 """How long an entry still answers requests after it stopped listening."""
 
@@ -74,20 +74,20 @@
         """Refuse new requests, notify peers and finish running requests."""
         self.requests.leaving = True
         await self.knowledge.leave()
-        await self.requests.idle()
+        await self.requests.wait_idle()
         await self._answers.wait_until_sent()
         self._port.close()
         # A request may be in transit on an accepted connection. If that were
         # closed now, the caller couldn't tell whether it ran; so wait for
         # such requests and refuse them.
         await asyncio.sleep(LATE_REQUEST_GRACE_S)
-        await self.requests.idle()
+        await self.requests.wait_idle()
         await self._answers.wait_until_sent()
         await self._http.close_all_connections()
 
     async def stop(self) -> None:
         """Stop the servers and tasks and close connections to peers."""
-        await self._server.stop(LEAVE_GRACE_S)
+        await self._server.stop(STOP_GRACE_S)
         for task in (self.links, self.requests, self.knowledge):
             await task.stop()
         await self._peers.close()
