--- a/packages/daemon/src/crowrudder_daemon/entry/_caller_request.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_caller_request.py
@@ -92,7 +92,7 @@
 def answer_request_id(headers: Mapping[str, str]) -> str:
     """Return the id for an answer: the caller's if valid, else a new one.
 
-    >>> shown_id({'X-Request-Id': 'r1'})
+    >>> answer_request_id({'X-Request-Id': 'r1'})
     'r1'
     """
     given_id = headers.get('X-Request-Id', '')
--- a/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
@@ -75,7 +75,7 @@
                 self._finish(ended)
 
     def withdraw(self) -> bool:
-        """Drop work of a disconnected caller; return whether that is allowed."""
+        """Drop work of a disconnected caller; return whether it is allowed."""
         if self.owner.permit_out and not self.owner.idempotent:
             return False
         if self.owner.closed is None:
--- a/packages/daemon/src/crowrudder_daemon/entry/_size_gate.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_size_gate.py
@@ -87,7 +87,7 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
-        if exceeds_limit(headers.get('Content-Length', ''), self._most_bytes):
+        if is_too_long(headers.get('Content-Length', ''), self._most_bytes):
             return self._refuse(answer_request_id(headers))
         return self._inner.headers_received(start_line, headers)
 
@@ -112,10 +112,10 @@
         stream.close()
 
 
-def exceeds_limit(length: str, most_bytes: int) -> bool:
+def is_too_long(length: str, most_bytes: int) -> bool:
     """Return whether a `Content-Length` is a number over the limit.
 
-    >>> is_longer('11', 10), is_longer('10', 10), is_longer('-1', 10)
+    >>> is_too_long('11', 10), is_too_long('10', 10), is_too_long('-1', 10)
     (True, False, False)
     """
     if not (length.isascii() and length.isdigit()):
