--- a/packages/daemon/src/crowrudder_daemon/agent/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent: the one process beside an engine or a plain service."""
+"""The agent process, which runs beside an engine or a plain service."""
 
 from crowrudder_daemon.agent._role import build_agent
 
--- a/packages/daemon/src/crowrudder_daemon/agent/_answer_log.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_answer_log.py
@@ -1,4 +1,4 @@
-"""What was said about one attempt, readable from any point, more than once."""
+"""Replayable log of the messages of one attempt."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 @define
 class AnswerLog:
-    """Messages of an attempt, kept so that an entry can come back for them.
+    """Messages of an attempt, retained so that an entry can read them again.
 
     A stream to the entry may break at any message. The entry then settles and
-    reads on from the piece it lacks, which must still be here.
+    resumes from the first piece that it lacks, which must still be available.
     """
 
     events: list[RunDown] = Factory(list)
     closed: bool = False
-    _news: asyncio.Event = Factory(asyncio.Event)
+    _changed: asyncio.Event = Factory(asyncio.Event)
 
     def add(self, event: RunDown) -> None:
         """Append a message and wake the readers."""
@@ -31,24 +31,24 @@
         self._wake()
 
     def close(self) -> None:
-        """Nothing follows."""
+        """Mark the log as complete and wake the readers."""
         self.closed = True
         self._wake()
 
     async def read(self) -> AsyncIterator[RunDown]:
-        """Yield all messages from the first, until closed."""
-        at = 0
+        """Yield all messages from the first on until the log is closed."""
+        position = 0
         while True:
-            news = self._news
-            while at < len(self.events):
-                yield self.events[at]
-                at += 1
+            changed = self._changed
+            while position < len(self.events):
+                yield self.events[position]
+                position += 1
             if self.closed:
                 return
-            await news.wait()
+            await changed.wait()
 
     async def read_from_piece(self, index: int) -> AsyncIterator[RunDown]:
-        """Yield pieces from an index on, and the final message."""
+        """Yield the pieces from an index on, and the final message."""
         async for event in self.read():
             if event.final is not None:
                 yield event
@@ -56,5 +56,5 @@
                 yield event
 
     def _wake(self) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
--- a/packages/daemon/src/crowrudder_daemon/agent/_claims.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_claims.py
@@ -1,4 +1,4 @@
-"""The agent as a home of request ids: claims, releases and their hand-over."""
+"""The agent as a voter on request ids: claims, releases and their hand-over."""
 
 from __future__ import annotations
 
@@ -26,14 +26,17 @@
     from crowrudder_daemon.rpc import PeerClient, PeerServer
     from crowrudder_model import Member
 
-FORGET_EVERY_S = 30.0
+CLEANUP_INTERVAL_S = 30.0
 HAND_OVER_TIMEOUT_S = 2.0
-BATCH = 2000
-"""Records in one message: far below gRPC's limit of 4 MB."""
+MAX_CLAIMS_PER_MESSAGE = 2000
+"""Keeps a message far below gRPC's limit of 4 MB."""
 
 
 class ClaimService:
-    """Owns the book of claims; every handler is one step without a wait."""
+    """Owns the claim registry.
+
+    Handlers of claims, releases and hand-overs don't await, so each is atomic.
+    """
 
     def __init__(
         self,
@@ -47,36 +50,40 @@
         self._knowledge = knowledge
 
     def serve(self, server: PeerServer) -> None:
-        """Add the calls to the server."""
+        """Register the calls on the server."""
         server.add(CLAIM, self._on_claim)
         server.add(RELEASE, self._on_release)
         server.add(HAND_OVER, self._on_hand_over)
 
     def start(self) -> None:
-        """Start the clock that forgets."""
-        self._runtime.spawn(self._forget_for_ever(), step='forget claims')
+        """Start the periodic removal of expired claims."""
+        self._runtime.spawn(
+            self._remove_expired_periodically(), step='forget claims'
+        )
 
     async def hand_over(self) -> None:
-        """Vouch for nothing more, and give what is remembered to the others.
+        """Stop voting and send the held claims to the other voters.
 
-        A rolling restart empties one home after the other. Without this the
-        last one that remembers an id would be restarted within minutes, seen
-        as a second run of an id that is sent again afterwards.
+        A rolling restart clears the claims of one voter after the other.
+        Without the hand-over the last voter that holds an id would restart
+        within minutes, and an id that is sent again would run a second time.
         """
         self.book.leaving = True
         await asyncio.gather(
             *(self._send(address, batch) for address, batch in self._batches()),
         )
 
-    async def _on_claim(self, ask: ClaimAsk, _context: object) -> ClaimReply:
-        return ClaimReply(state=self.book.claim(ask, now=_now()))
+    async def _on_claim(
+        self, request: ClaimAsk, _context: object
+    ) -> ClaimReply:
+        return ClaimReply(state=self.book.claim(request, now=_now()))
 
-    async def _on_release(self, ask: ReleaseAsk, _context: object) -> Taken:
-        self.book.release(ask, now=_now())
+    async def _on_release(self, request: ReleaseAsk, _context: object) -> Taken:
+        self.book.release(request, now=_now())
         return Taken(count=1)
 
-    async def _on_hand_over(self, ask: HandOver, _context: object) -> Taken:
-        return Taken(count=self.book.take_over(ask.claims, now=_now()))
+    async def _on_hand_over(self, request: HandOver, _context: object) -> Taken:
+        return Taken(count=self.book.take_over(request.claims, now=_now()))
 
     def _batches(self) -> Iterator[tuple[str, HandOver]]:
         own = self._runtime.cfg.process.host
@@ -85,24 +92,24 @@
             for member in self._knowledge.snapshot.by_role('agent')
             if member.host != own
         }
-        for host, claims in self._by_home(members).items():
-            for first in range(0, len(claims), BATCH):
-                batch = tuple(claims[first : first + BATCH])
+        for host, claims in self._group_by_voter(members).items():
+            for first in range(0, len(claims), MAX_CLAIMS_PER_MESSAGE):
+                batch = tuple(claims[first : first + MAX_CLAIMS_PER_MESSAGE])
                 yield members[host].rpc_address, HandOver(claims=batch)
 
-    def _by_home(
+    def _group_by_voter(
         self,
         members: dict[str, Member],
     ) -> dict[str, list[HeldClaim]]:
-        places = [
+        candidates = [
             Place(host, member.failure_domain)
             for host, member in members.items()
         ]
-        by_home: defaultdict[str, list[HeldClaim]] = defaultdict(list)
+        by_voter: defaultdict[str, list[HeldClaim]] = defaultdict(list)
         for claim in self.book.held(now=_now()):
-            for host in homes_of(claim.request_id, places):
-                by_home[host].append(claim)
-        return by_home
+            for host in homes_of(claim.request_id, candidates):
+                by_voter[host].append(claim)
+        return by_voter
 
     async def _send(self, address: str, batch: HandOver) -> None:
         try:
@@ -115,9 +122,9 @@
         except CrowrudderError as exc:
             self._runtime.log.warning('claims not handed over: %s', exc)
 
-    async def _forget_for_ever(self) -> None:
+    async def _remove_expired_periodically(self) -> None:
         while True:
-            await asyncio.sleep(FORGET_EVERY_S)
+            await asyncio.sleep(CLEANUP_INTERVAL_S)
             self.book.forget(now=_now())
 
 
--- a/packages/daemon/src/crowrudder_daemon/agent/_orders.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_orders.py
@@ -1,4 +1,4 @@
-"""Give orders to the engine of this host and read back what they did."""
+"""Send orders to the engine of this host and read back their effect."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     from crowrudder_daemon.agent._upstream import EngineClient, EngineState
 
 LOAD_TIMEOUT_S = 600.0
-CHECK_S = 1.0
-"""How often a loaded engine is read again.
+ENGINE_POLL_INTERVAL_S = 1.0
+"""Interval between reads of the state of a loaded engine.
 
-An engine that ignores fencing numbers may be ordered back by an old agent,
-and one that restarts has nothing loaded; neither tells its agent.
+A stale agent may revert an engine that ignores fencing numbers, and an engine
+that restarts has nothing loaded. Neither is reported to the agent.
 """
 
 HTTP_OK = 200
@@ -37,7 +37,7 @@
 
 @frozen(kw_only=True)
 class StagedWeights:
-    """What a load order says of the chunks that the engine was given."""
+    """Count and digest of the staged chunks, as a load order states them."""
 
     chunks: int
     digest: str
@@ -51,7 +51,7 @@
         self._orders = EngineOrders()
 
     async def loaded(self, target: Target) -> EngineState | None:
-        """Read the engine; its state when it answers with the target.
+        """Return the engine's state if it serves the target, else None.
 
         Raises
         ------
@@ -59,27 +59,27 @@
             when the engine has orders of a newer configuration.
         """
         state = await self._engine.state()
-        decision = self._orders.on_read(_read_of(state), target)
-        self._refuse_outdated(decision, target)
+        decision = self._orders.on_read(_engine_read_of(state), target)
+        self._raise_if_outdated(decision, target)
         return state if isinstance(decision, Loaded) else None
 
     async def load(self, target: Target, staged: StagedWeights) -> EngineState:
-        """Order the target and read it back.
+        """Order the engine to load the target, and verify its state.
 
         Raises
         ------
         OutdatedError
             when the engine has orders of a newer configuration.
         UpstreamError
-            when the engine refused, or shows another version afterwards.
+            when the engine refused, or reports another version afterwards.
         """
         state = await self._engine.state()
-        decision = self._orders.on_read(_read_of(state), target)
-        self._refuse_outdated(decision, target)
+        decision = self._orders.on_read(_engine_read_of(state), target)
+        self._raise_if_outdated(decision, target)
         if isinstance(decision, GiveOrder):
-            await self._give(decision, target, staged)
+            await self._send_order(decision, target, staged)
             state = await self._engine.state()
-        if not self._orders.confirms(_read_of(state), target):
+        if not self._orders.confirms(_engine_read_of(state), target):
             raise UpstreamError(
                 f'the engine has {state.version!r} after the order',
                 step='read back',
@@ -93,23 +93,23 @@
         adapter: str,
         staged: StagedWeights,
     ) -> EngineState:
-        """Order an adapter of the target, which is loaded, and read it back.
+        """Order an adapter for the loaded target, and verify the engine's state.
 
         Raises
         ------
         OutdatedError
             when the engine has orders of a newer configuration.
         UpstreamError
-            when the engine refused, or doesn't show target and adapter.
+            when the engine refused, or doesn't report target and adapter.
         """
         state = await self._engine.state()
-        decision = self._orders.on_read(_read_of(state), target)
-        self._refuse_outdated(decision, target)
+        decision = self._orders.on_read(_engine_read_of(state), target)
+        self._raise_if_outdated(decision, target)
         if isinstance(decision, Loaded) and adapter not in state.adapters:
             order = GiveOrder(fence=self._orders.seen.packed)
-            await self._give(order, target, staged, adapter=adapter)
+            await self._send_order(order, target, staged, adapter=adapter)
             state = await self._engine.state()
-        confirmed = self._orders.confirms(_read_of(state), target)
+        confirmed = self._orders.confirms(_engine_read_of(state), target)
         if not confirmed or adapter not in state.adapters:
             raise UpstreamError(
                 f'the engine has {state.version!r} with {state.adapters} '
@@ -120,14 +120,14 @@
         return state
 
     async def until_changed(self, target: Target) -> None:
-        """Return once the engine no longer shows the target."""
+        """Wait until the engine no longer reports the target."""
         while True:
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(ENGINE_POLL_INTERVAL_S)
             state = await self._engine.state()
-            if not self._orders.confirms(_read_of(state), target):
+            if not self._orders.confirms(_engine_read_of(state), target):
                 return
 
-    async def _give(
+    async def _send_order(
         self,
         decision: GiveOrder,
         target: Target,
@@ -155,7 +155,7 @@
                 peer=self._engine.address,
             )
 
-    def _refuse_outdated(
+    def _raise_if_outdated(
         self,
         decision: Loaded | Outdated | GiveOrder,
         target: Target,
@@ -169,7 +169,7 @@
             )
 
 
-def _read_of(state: EngineState) -> EngineRead:
+def _engine_read_of(state: EngineState) -> EngineRead:
     return EngineRead(
         model=state.model,
         version=state.version,
--- a/packages/daemon/src/crowrudder_daemon/agent/_required.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_required.py
@@ -1,4 +1,4 @@
-"""Settings that every agent has, though an entry has not."""
+"""Access to settings sections that agents require and entries lack."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def required(section: _Section | None, name: str) -> _Section:
-    """Give a section that the check of settings has made sure of."""
+    """Return a section; validation of the settings ensures that it is set."""
     if section is None:
         raise CrowrudderError(
             f'an agent needs the section [{name}]',
--- a/packages/daemon/src/crowrudder_daemon/agent/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_role.py
@@ -1,4 +1,4 @@
-"""Put an agent together from its tasks."""
+"""Assemble an agent from its tasks."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def build_agent(runtime: Runtime) -> AgentRole:
-    """Make the agent that the settings describe; nothing starts yet."""
+    """Build the agent that the settings describe, without starting it."""
     return AgentRole(runtime)
 
 
 class AgentRole:
-    """The agent's tasks and their order of start and stop."""
+    """Owns the agent's tasks and starts and stops them in order."""
 
     def __init__(self, runtime: Runtime) -> None:
         cfg = runtime.cfg
@@ -62,7 +62,7 @@
         self._claims = ClaimService(runtime, self._peers, self.knowledge)
 
     async def start(self) -> None:
-        """Listen and begin to learn."""
+        """Start the server and all tasks."""
         self.knowledge.serve(self._server)
         self._service.serve(self._server)
         self._claims.serve(self._server)
@@ -75,16 +75,16 @@
         self.knowledge.start()
 
     async def drain(self) -> None:
-        """Refuse new work, tell the peers, finish what runs."""
+        """Refuse new attempts, notify the peers and finish running attempts."""
         idle = asyncio.get_running_loop().create_future()
         self.runs.post(DrainRuns(idle))
         await self.knowledge.leave()
         await idle
-        await self._service.read_to_the_end()
+        await self._service.wait_for_readers()
         await self._claims.hand_over()
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop the server and all tasks, and close the connections."""
         await self._server.stop(LEAVE_GRACE_S)
         for task in (self.weights, self.runs, self.knowledge):
             if task is not None:
@@ -92,7 +92,7 @@
         await self._peers.close()
 
     def status(self) -> dict[str, Any]:
-        """Tell how far this host is from the declared state."""
+        """Return how far this host is from the declared state."""
         state = self.runs.state
         weights = self.weights
         service = self.knowledge.snapshot.placement.get(
@@ -106,13 +106,13 @@
             'loaded_version': weights.loaded if weights else '',
             'progress': weights.progress if weights else 1.0,
             'weights': weights.status() if weights else [],
-            'hinders': self._hindrances(),
+            'hinders': self._blocking_reasons(),
             'running': state.running,
             'queued': state.queued,
         }
 
     def readiness(self) -> list[str]:
-        """Give what keeps this agent from serving; empty when ready."""
+        """Return the reasons why this agent can't serve; empty when ready."""
         reasons = []
         if self.knowledge.hinders:
             reasons.append(self.knowledge.hinders)
@@ -126,11 +126,11 @@
             reasons.append('this process is leaving')
         return reasons
 
-    def _hindrances(self) -> list[str]:
-        """Give what keeps this host from the declared state.
+    def _blocking_reasons(self) -> list[str]:
+        """Return the reasons why this host isn't in the declared state.
 
-        A host that no service is placed on is where the files want it, though
-        it can't serve; as a hindrance it would keep `status --wait` waiting.
+        A host without a service is in its declared state, although it can't
+        serve. If that were a reason, `status --wait` would never return.
         """
         snapshot = self.knowledge.snapshot
         own = self._runtime.cfg.process.host
@@ -143,11 +143,11 @@
         return self.knowledge.snapshot.members
 
     def bundle(self) -> bytes:
-        """Give the bytes of the bundle in force."""
+        """Return the bytes of the bundle in force."""
         return self.knowledge.book.payload
 
     def explain(self, customer: str, model: str) -> dict[str, Any]:
-        """Refuse: agents route nothing."""
+        """Raise NotImplementedError: agents route no requests."""
         raise NotImplementedError
 
     def _on_snapshot(self, snapshot: Snapshot) -> None:
--- a/packages/daemon/src/crowrudder_daemon/agent/_run_messages.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_run_messages.py
@@ -1,4 +1,4 @@
-"""What others tell the task that runs attempts."""
+"""Messages to the task that runs attempts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @frozen
-class AttemptCame:
+class AttemptReceived:
     """An entry sent an attempt; its answers go to the log."""
 
     attempt: Attempt
@@ -27,16 +27,16 @@
 
 
 @frozen
-class PermitCame:
-    """The owner's word arrived."""
+class PermitReceived:
+    """The owner granted or denied a permit."""
 
     key: AttemptKey
     granted: bool
 
 
 @frozen
-class CancelCame:
-    """The owner gave the attempt up."""
+class CancelReceived:
+    """The owner cancelled the attempt."""
 
     key: AttemptKey
 
@@ -49,7 +49,7 @@
 
 
 @frozen
-class SettleCame:
+class SettleReceived:
     """An entry asks what became of an attempt."""
 
     key: AttemptKey
@@ -58,14 +58,14 @@
 
 @frozen
 class PermitOverdue:
-    """The owner said nothing in time."""
+    """The owner didn't answer a permit request in time."""
 
     key: AttemptKey
 
 
 @frozen
 class RunEnded:
-    """The upstream is done with an attempt after so many seconds."""
+    """The upstream finished an attempt after `took_s` seconds."""
 
     key: AttemptKey
     took_s: float
@@ -75,14 +75,14 @@
 
 @frozen
 class PauseRuns:
-    """Start nothing more; resolve when nothing runs."""
+    """Start no more attempts; resolves `idle` once none runs."""
 
     idle: asyncio.Future[None]
 
 
 @frozen
 class ResumeRuns:
-    """The upstream answers with this version from now on."""
+    """The upstream serves this version from now on."""
 
     service: str
     version: str
@@ -91,11 +91,11 @@
 
 @frozen
 class DrainRuns:
-    """Refuse what waits and what comes; resolve when nothing runs."""
+    """Refuse queued and new attempts; resolves `idle` once none runs."""
 
     idle: asyncio.Future[None]
 
 
 @frozen
 class ForgetOld:
-    """Time to drop what ended long ago."""
+    """Remove expired attempts and answers."""
--- a/packages/daemon/src/crowrudder_daemon/agent/_run_service.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_run_service.py
@@ -1,4 +1,4 @@
-"""The remote calls by which entries use an agent."""
+"""Remote calls from entries to an agent."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from crowrudder_daemon.agent._answer_log import AnswerLog
 from crowrudder_daemon.agent._run_messages import (
-    AttemptCame,
-    CancelCame,
+    AttemptReceived,
+    CancelReceived,
     OwnerLost,
-    PermitCame,
-    SettleCame,
+    PermitReceived,
+    SettleReceived,
 )
-from crowrudder_daemon.agent._run_parts import settled_message
+from crowrudder_daemon.agent._run_state import settled_message
 from crowrudder_model.messages import (
     Attempt,
     AttemptKey,
@@ -36,19 +36,19 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Iterable
 
-    from crowrudder_daemon.agent._run_parts import RunsState
+    from crowrudder_daemon.agent._run_state import RunsState
     from crowrudder_daemon.agent._runs import RunsTask
     from crowrudder_daemon.knowledge import KnowledgeTask
     from crowrudder_daemon.process import Runtime
     from crowrudder_daemon.rpc import PeerServer
 
 
-SHORTEST_INTERVAL_S = 0.05
+MIN_INTERVAL_S = 0.05
 
 
 @frozen
-class _UrgentPart:
-    """What decides whether an entry may send here at all."""
+class _RoutingState:
+    """Fields that decide whether an entry may send requests to this agent."""
 
     service: str
     version: str
@@ -57,7 +57,7 @@
 
 
 class RunService:
-    """Translate remote calls to messages of the runs task."""
+    """Translates remote calls into messages to the runs task."""
 
     def __init__(
         self,
@@ -71,42 +71,42 @@
         self._readers: set[asyncio.Future[None]] = set()
 
     def serve(self, server: PeerServer) -> None:
-        """Add the calls to the server."""
+        """Register the calls on the server."""
         server.add(RUN, self._on_run)
         server.add(SETTLE, self._on_settle)
         server.add(CANCEL, self._on_cancel)
         server.add(ROOM, self._on_room)
         server.add(REPORTS, self._on_reports)
 
-    async def read_to_the_end(self) -> None:
-        """Wait until entries have read what was answered.
+    async def wait_for_readers(self) -> None:
+        """Wait until the entries have read all answers.
 
-        A run that has ended may still have its last pieces on the way; a
-        server that stops then would cut them off.
+        The last pieces of an ended run may still be in transit. Stopping the
+        server at that point would cut them off.
         """
         if self._readers:
             await asyncio.wait(set(self._readers))
 
     async def _on_run(
         self,
-        ups: AsyncIterator[RunUp],
+        incoming: AsyncIterator[RunUp],
         _context: object,
     ) -> AsyncIterator[RunDown]:
-        first = await anext(ups, None)
+        first = await anext(incoming, None)
         if first is None or first.attempt is None:
             return
         key = first.attempt.key
         answers = AnswerLog()
-        self._runs.post(AttemptCame(first.attempt, answers))
-        reader = asyncio.ensure_future(self._read_ups(ups, key))
+        self._runs.post(AttemptReceived(first.attempt, answers))
+        reader = asyncio.ensure_future(self._read_incoming(incoming, key))
         try:
-            async for event in self._watched(answers.read()):
+            async for event in self._track_reader(answers.read()):
                 yield event
         finally:
             reader.cancel()
             self._runs.post(OwnerLost(key))
 
-    async def _watched(
+    async def _track_reader(
         self,
         events: AsyncIterator[RunDown],
     ) -> AsyncIterator[RunDown]:
@@ -119,81 +119,81 @@
             self._readers.discard(ended)
             ended.set_result(None)
 
-    async def _read_ups(
+    async def _read_incoming(
         self,
-        ups: AsyncIterator[RunUp],
+        incoming: AsyncIterator[RunUp],
         key: AttemptKey,
     ) -> None:
-        async for up in ups:
-            match up.body:
+        async for message in incoming:
+            match message.body:
                 case Permit(granted=granted):
-                    self._runs.post(PermitCame(key, granted))
+                    self._runs.post(PermitReceived(key, granted))
                 case Attempt() | None:
                     return
 
-    async def _on_cancel(self, ask: Cancel, _context: object) -> Taken:
-        self._runs.post(CancelCame(ask.key))
+    async def _on_cancel(self, request: Cancel, _context: object) -> Taken:
+        self._runs.post(CancelReceived(request.key))
         return Taken(count=1)
 
-    async def _on_room(self, ask: RoomAsk, _context: object) -> RoomReply:
+    async def _on_room(self, request: RoomAsk, _context: object) -> RoomReply:
         runs, admission = self._runs, self._runs.admission
-        if runs.shut or ask.service != runs.state.service:
+        if runs.is_closed or request.service != runs.state.service:
             return RoomReply(wait_s=NO_ROOM)
         return RoomReply(
-            wait_s=admission.wait_s(ask.customer, ask.share),
+            wait_s=admission.wait_s(request.customer, request.share),
             filled=(admission.running + admission.queued) / admission.slots,
         )
 
     async def _on_settle(
         self,
-        ask: SettleAsk,
+        request: SettleAsk,
         _context: object,
     ) -> AsyncIterator[RunDown]:
-        if ask.incarnation != self._runtime.incarnation:
+        if request.incarnation != self._runtime.incarnation:
             yield settled_message(SettledState.OTHER_INCARNATION)
             return
         loop = asyncio.get_running_loop()
         reply: asyncio.Future[tuple[SettledState, AnswerLog | None]]
         reply = loop.create_future()
-        self._runs.post(SettleCame(ask.key, reply))
+        self._runs.post(SettleReceived(request.key, reply))
         state, answers = await reply
         yield settled_message(state)
         if state is SettledState.ATTACHED and answers is not None:
-            rest = answers.read_from_piece(ask.next_index)
-            async for event in self._watched(rest):
+            rest = answers.read_from_piece(request.next_index)
+            async for event in self._track_reader(rest):
                 yield event
 
     async def _on_reports(
         self,
-        ask: ReportAsk,
+        request: ReportAsk,
         _context: object,
     ) -> AsyncIterator[Report]:
         while True:
-            told = _urgent_part(self._runs.state)
-            yield self.report(ask.entry)
-            await self._wait_for_news(told, ask.interval_s)
+            sent = _routing_state(self._runs.state)
+            yield self.report(request.entry)
+            await self._wait_for_change(sent, request.interval_s)
 
-    async def _wait_for_news(
+    async def _wait_for_change(
         self,
-        told: _UrgentPart,
+        sent: _RoutingState,
         interval_s: float,
     ) -> None:
-        """Wait for the interval, or less where an entry must know at once.
+        """Wait for the interval, or until the routing state changes.
 
-        A report on each change of load would be up to twenty a second to
-        each entry, more than all other control traffic; entries count their
-        own attempts, and ask for room where that isn't enough.
+        Reporting each change of load would send up to twenty reports a second
+        to each entry, more than all other control traffic. Entries count their
+        own attempts, and request capacity where that isn't enough.
         """
         state = self._runs.state
         try:
-            async with asyncio.timeout(max(interval_s, SHORTEST_INTERVAL_S)):
-                while _urgent_part(state) == told:
+            async with asyncio.timeout(max(interval_s, MIN_INTERVAL_S)):
+                while _routing_state(state) == sent:
                     await state.changed.wait()
         except TimeoutError:
             return
 
     def report(self, entry: str = '') -> Report:
-        """Give the agent's state now, as one entry is to see it."""
+        """Return a report of the agent's current state for one entry."""
         state = self._runs.state
         generation, digest = self._knowledge.book.order
         return Report(
@@ -208,15 +208,15 @@
             service_s=state.service_s,
             pace_s=state.pace_s,
             silent_s=self._runs.silent_s,
-            yours=_count_of(entry, self._runs.admission.attempts()),
+            yours=_count_of_entry(entry, self._runs.admission.attempts()),
             leaving=state.leaving,
             generation=generation,
             digest=digest,
         )
 
 
-def _urgent_part(state: RunsState) -> _UrgentPart:
-    return _UrgentPart(
+def _routing_state(state: RunsState) -> _RoutingState:
+    return _RoutingState(
         state.service,
         state.version,
         state.adapters,
@@ -224,7 +224,7 @@
     )
 
 
-def _count_of(entry: str, attempts: Iterable[AttemptKey]) -> int:
+def _count_of_entry(entry: str, attempts: Iterable[AttemptKey]) -> int:
     return sum(key.entry == entry for key in attempts)
 
 
--- a/packages/daemon/src/crowrudder_daemon/agent/_run_parts.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_run_state.py
@@ -1,4 +1,4 @@
-"""What the task that runs attempts holds and tells."""
+"""State of the task that runs attempts, and its outgoing messages."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 @define
-class KeptAttempt:
-    """What the task holds of one attempt."""
+class AttemptRecord:
+    """State of one attempt in the runs task."""
 
     attempt: Attempt
     answers: AnswerLog
     deadline: float
     version: str = ''
-    """The version that the permit was asked for."""
+    """The version for which the permit was requested."""
 
     cancelled: bool = False
     pieces: int = 0
@@ -41,7 +41,7 @@
 
 @define
 class RunsState:
-    """What others may read of the task, for reports and status."""
+    """Public state of the runs task, for reports and status."""
 
     service: str = ''
     version: str = ''
@@ -69,14 +69,14 @@
 
 
 def settled_message(state: SettledState) -> RunDown:
-    """Wrap the word on an attempt."""
+    """Return the message that reports the settled state of an attempt."""
     return RunDown(settled=Settled(state=state))
 
 
-def final_of(kept: KeptAttempt, outcome: Outcome, message: str) -> Final:
+def final_of(record: AttemptRecord, outcome: Outcome, message: str) -> Final:
     return Final(
-        request_id=kept.attempt.key.request_id,
+        request_id=record.attempt.key.request_id,
         outcome=outcome,
-        version=kept.version,
+        version=record.version,
         message=message,
     )
--- a/packages/daemon/src/crowrudder_daemon/agent/_runs.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_runs.py
@@ -1,4 +1,4 @@
-"""The task that queues attempts, asks for permits and runs them."""
+"""The task that queues attempts, requests permits and runs attempts."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 )
 from crowrudder_daemon._task import Task
 from crowrudder_daemon.agent._run_messages import (
-    AttemptCame,
-    CancelCame,
+    AttemptReceived,
+    CancelReceived,
     DrainRuns,
     ForgetOld,
     OwnerLost,
     PauseRuns,
-    PermitCame,
     PermitOverdue,
+    PermitReceived,
     ResumeRuns,
     RunEnded,
-    SettleCame,
+    SettleReceived,
 )
-from crowrudder_daemon.agent._run_parts import (
-    KeptAttempt,
+from crowrudder_daemon.agent._run_state import (
+    AttemptRecord,
     RunsState,
     final_of,
     waiting_of,
@@ -51,16 +51,16 @@
     from crowrudder_daemon.agent._upstream import EngineClient, PlainClient
     from crowrudder_daemon.process import Runtime
 
-PERMIT_WAIT_S = 1.0
-"""Longest wait for the owner's word while a slot is held for it."""
+PERMIT_TIMEOUT_S = 1.0
+"""Longest wait for the owner's permit while a slot is reserved."""
 
-FORGET_EVERY_S = 5.0
+CLEANUP_INTERVAL_S = 5.0
 
-KEEP_ANSWER_S = 15.0
-"""Seconds for which an ended answer can be read again: three times as long
-as an entry goes on asking."""
+ANSWER_RETENTION_S = 15.0
+"""How long an ended answer can be read again: three times as long as an entry
+keeps trying to settle."""
 
-SHORTEST_RETRY_S = 0.1
+MIN_RETRY_AFTER_S = 0.1
 
 
 class RunsTask(Task):
@@ -81,19 +81,19 @@
             limits.slots,
             AdmissionQueue(limits.queue_length),
         )
-        self._kept: dict[AttemptKey, KeptAttempt] = {}
+        self._records: dict[AttemptKey, AttemptRecord] = {}
         self._running: dict[AttemptKey, asyncio.Task[None]] = {}
-        self._heard_at = 0.0
+        self._last_piece_at = 0.0
         self._paused = True
-        self._idle: list[asyncio.Future[None]] = []
+        self._idle_waiters: list[asyncio.Future[None]] = []
 
     def start(self) -> None:
-        """Start the loop and the clock that forgets."""
+        """Start the loop and the periodic removal of expired attempts."""
         super().start()
-        self.spawn(self._forget_for_ever())
+        self.spawn(self._remove_expired_periodically())
 
-    def on_attempt_came(self, message: AttemptCame) -> None:
-        """Queue an attempt or refuse it for good."""
+    def on_attempt_received(self, message: AttemptReceived) -> None:
+        """Queue an attempt or refuse it permanently."""
         attempt = message.attempt
         item = waiting_of(attempt, self._now())
         refusal = self._refusal(attempt, item)
@@ -101,7 +101,7 @@
             message.answers.add(RunDown(refusal=refusal))
             message.answers.close()
             return
-        self._kept[attempt.key] = KeptAttempt(
+        self._records[attempt.key] = AttemptRecord(
             attempt,
             message.answers,
             item.deadline,
@@ -113,24 +113,27 @@
         message.answers.add(RunDown(queued=queued))
         dropped = self.admission.add(item)
         if dropped is not None:
-            self._release(dropped, 'queue_full')
+            self._reject(dropped, 'queue_full')
         self._advance()
 
-    def on_permit_came(self, message: PermitCame) -> None:
-        """Start the attempt if the owner and the clock allow it."""
-        kept = self._kept.get(message.key)
-        if kept is None or not self.admission.holds(message.key):
+    def on_permit_received(self, message: PermitReceived) -> None:
+        """Start the attempt if the permit was granted and is still valid."""
+        record = self._records.get(message.key)
+        if record is None or not self.admission.holds(message.key):
             return
-        if self._may_start(message):
+        if self._try_start(message):
             if not self._running:
-                self._heard_at = self._now()
-            self._running[message.key] = self.spawn(self._run(kept))
-            self._note_load()
+                self._last_piece_at = self._now()
+            self._running[message.key] = self.spawn(self._run(record))
+            self._update_load()
             return
-        self._release(message.key, 'not_permitted')
+        self._reject(message.key, 'not_permitted')
 
-    def _may_start(self, message: PermitCame) -> bool:
-        """Enter the ledger's irreversible step; a broken rule stops it."""
+    def _try_start(self, message: PermitReceived) -> bool:
+        """Mark the attempt as started in the ledger, which is irreversible.
+
+        A violated invariant prevents the start.
+        """
         permitted = self._ledger.permit(
             message.key,
             granted=message.granted,
@@ -146,72 +149,74 @@
             return False
 
     def on_permit_overdue(self, message: PermitOverdue) -> None:
-        """Give the slot to the next when the owner stays silent."""
-        self._give_up(message.key, 'permit_overdue')
+        """Refuse the attempt and free its slot if no permit arrived."""
+        self._reject_unless_started(message.key, 'permit_overdue')
 
     def on_owner_lost(self, message: OwnerLost) -> None:
-        """Drop an attempt that has not started; a running one goes on."""
-        self._give_up(message.key, 'owner_lost')
+        """Refuse an attempt that hasn't started; a running one continues."""
+        self._reject_unless_started(message.key, 'owner_lost')
 
-    def on_cancel_came(self, message: CancelCame) -> None:
-        """Stop the attempt wherever it stands.
+    def on_cancel_received(self, message: CancelReceived) -> None:
+        """Stop the attempt in any state.
 
-        The cancel may overtake the attempt, which then never starts.
+        A cancel may arrive before its attempt, which then never starts.
         """
         if self._ledger.stage_of(message.key) is None:
             self._ledger.settle(message.key, now=self._now())
-        self._give_up(message.key, 'cancelled')
-        kept = self._kept.get(message.key)
+        self._reject_unless_started(message.key, 'cancelled')
+        record = self._records.get(message.key)
         running = self._running.get(message.key)
-        if kept is not None and running is not None and not kept.cancelled:
-            kept.cancelled = True
+        if record is not None and running is not None and not record.cancelled:
+            record.cancelled = True
             running.cancel()
             self.spawn(self._cancel_upstream(message.key.request_id))
 
-    def on_settle_came(self, message: SettleCame) -> None:
-        """Bind this incarnation to a word on a lost attempt."""
+    def on_settle_received(self, message: SettleReceived) -> None:
+        """Fix the settled state of a lost attempt and reply with it."""
         state = self._ledger.settle(message.key, now=self._now())
-        kept = self._kept.get(message.key)
+        record = self._records.get(message.key)
         if state is SettledState.NEVER_STARTS:
-            self._release(message.key, 'settled')
+            self._reject(message.key, 'settled')
         if not message.reply.done():
-            message.reply.set_result((state, kept.answers if kept else None))
+            message.reply.set_result(
+                (state, record.answers if record else None)
+            )
 
     def on_run_ended(self, message: RunEnded) -> None:
-        """Free the slot."""
+        """Free the slot and record the end of the run."""
         self._running.pop(message.key, None)
         self.admission.leave(message.key)
         self._ledger.finish(message.key, now=self._now(), ran=message.ran)
-        kept = self._kept.get(message.key)
-        if kept is not None:
-            kept.ended_at = self._now()
+        record = self._records.get(message.key)
+        if record is not None:
+            record.ended_at = self._now()
         if message.ran:
             estimate = self.admission.estimate
             estimate.on_ended(message.took_s, pieces=message.pieces)
         self._advance()
 
     @property
-    def shut(self) -> bool:
-        """Whether nothing is taken in now."""
+    def is_closed(self) -> bool:
+        """Return whether new attempts are refused."""
         state = self.state
         return self._paused or state.leaving or not state.version
 
     @property
     def silent_s(self) -> float:
-        """Seconds since the upstream gave anything while it had work."""
+        """Seconds since the last piece or first start; 0 if nothing runs."""
         if not self._running:
             return 0
-        return self._now() - self._heard_at
+        return self._now() - self._last_piece_at
 
     def on_pause_runs(self, message: PauseRuns) -> None:
-        """Start nothing more until `ResumeRuns`."""
+        """Start no more attempts until `ResumeRuns`."""
         self._paused = True
         self.state.version = ''
-        self._idle.append(message.idle)
-        self._note_load()
+        self._idle_waiters.append(message.idle)
+        self._update_load()
 
     def on_resume_runs(self, message: ResumeRuns) -> None:
-        """Go on with the version that the engine was read back with."""
+        """Resume with the version that the engine reported."""
         self._paused = False
         self.state.service = message.service
         self.state.version = message.version
@@ -219,24 +224,25 @@
         self._advance()
 
     def on_drain_runs(self, message: DrainRuns) -> None:
-        """Refuse what waits, finish what runs."""
+        """Refuse queued attempts and finish running ones."""
         self.state.leaving = True
         for key in list(self.admission.queue.waiting):
-            self._release(key, 'draining')
-        self._idle.append(message.idle)
-        self._note_load()
+            self._reject(key, 'draining')
+        self._idle_waiters.append(message.idle)
+        self._update_load()
 
     def on_forget_old(self, _message: ForgetOld) -> None:
-        """Drop ended attempts, and answers that nobody reads again."""
+        """Remove expired attempts and answers."""
         now = self._now()
         self._ledger.forget(now=now)
         old = [
             key
-            for key, kept in self._kept.items()
-            if kept.ended_at is not None and now - kept.ended_at > KEEP_ANSWER_S
+            for key, record in self._records.items()
+            if record.ended_at is not None
+            and now - record.ended_at > ANSWER_RETENTION_S
         ]
         for key in old:
-            self._kept.pop(key)
+            self._records.pop(key)
         self.admission.queue.forget(now=now)
 
     def _refusal(self, attempt: Attempt, item: Waiting) -> Refusal | None:
@@ -252,100 +258,101 @@
         return self._ledger.receive(attempt, now=self._now())
 
     def _advance(self) -> None:
-        """Ask for permits while slots are free."""
+        """Request permits while slots are free."""
         while not self._paused:
             match self.admission.next(now=self._now()):
                 case Start(key):
-                    self._ask(key)
+                    self._request_permit(key)
                 case Late(key):
-                    self._release(key, 'deadline_unreachable')
+                    self._reject(key, 'deadline_unreachable')
                 case None:
                     break
-        self._note_load()
+        self._update_load()
 
-    def _ask(self, key: AttemptKey) -> None:
-        kept = self._kept[key]
-        wanted = kept.attempt.version
+    def _request_permit(self, key: AttemptKey) -> None:
+        record = self._records[key]
+        wanted = record.attempt.version
         if wanted and wanted != self.state.version:
-            self._release(key, 'other_version')
+            self._reject(key, 'other_version')
             return
         if not self._ledger.ask(key, now=self._now()):
-            self._release(key, 'deadline_passed')
+            self._reject(key, 'deadline_passed')
             return
-        kept.version = self.state.version
-        ask = PermitAsk(key=key, version=kept.version)
-        kept.answers.add(RunDown(permit_ask=ask))
+        record.version = self.state.version
+        request = PermitAsk(key=key, version=record.version)
+        record.answers.add(RunDown(permit_ask=request))
         loop = asyncio.get_running_loop()
-        loop.call_later(PERMIT_WAIT_S, self.post, PermitOverdue(key))
+        loop.call_later(PERMIT_TIMEOUT_S, self.post, PermitOverdue(key))
 
-    def _give_up(self, key: AttemptKey, reason: str) -> None:
+    def _reject_unless_started(self, key: AttemptKey, reason: str) -> None:
         stage = self._ledger.stage_of(key)
         if stage is None or stage >= Stage.STARTED:
             return
-        self._release(key, reason)
+        self._reject(key, reason)
 
-    def _release(self, key: AttemptKey, reason: str) -> None:
-        """End an attempt that never starts, and use its slot."""
-        kept = self._kept.pop(key, None)
-        if kept is None:
+    def _reject(self, key: AttemptKey, reason: str) -> None:
+        """Refuse an attempt that never starts, and reuse its slot."""
+        record = self._records.pop(key, None)
+        if record is None:
             return
         self._ledger.refuse(key, now=self._now())
         refusal = Refusal(
             reason=reason,
-            retry_after_s=self._retry_after_s(kept.attempt),
+            retry_after_s=self._retry_after_s(record.attempt),
         )
-        kept.answers.add(RunDown(refusal=refusal))
-        kept.answers.close()
+        record.answers.add(RunDown(refusal=refusal))
+        record.answers.close()
         held = self.admission.holds(key)
         self.admission.leave(key)
         if held:
             self._advance()
         else:
-            self._note_load()
+            self._update_load()
 
-    async def _run(self, kept: KeptAttempt) -> None:
-        began = self._now()
-        final = final_of(kept, Outcome.UNKNOWN, 'the run was stopped')
+    async def _run(self, record: AttemptRecord) -> None:
+        started_at = self._now()
+        final = final_of(record, Outcome.UNKNOWN, 'the run was stopped')
         try:
-            final = await self._relay(kept, kept.version)
+            final = await self._relay(record, record.version)
         except asyncio.CancelledError:
-            if kept.cancelled:
+            if record.cancelled:
                 message = 'cancelled by its owner'
-                final = final_of(kept, Outcome.FAILED, message)
+                final = final_of(record, Outcome.FAILED, message)
         except (UpstreamError, InvariantError) as exc:
-            final = final_of(kept, Outcome.FAILED, str(exc))
+            final = final_of(record, Outcome.FAILED, str(exc))
         except Exception as exc:
             self._log.exception('run failed', extra={'step': 'run'})
-            final = final_of(kept, Outcome.FAILED, str(exc))
+            final = final_of(record, Outcome.FAILED, str(exc))
         finally:
-            kept.answers.add(RunDown(final=final))
-            kept.answers.close()
+            record.answers.add(RunDown(final=final))
+            record.answers.close()
             ran = final.outcome is not Outcome.NOT_RUN
-            took_s = self._now() - began
-            key = kept.attempt.key
-            self.post(RunEnded(key, took_s, kept.pieces, ran=ran))
+            took_s = self._now() - started_at
+            key = record.attempt.key
+            self.post(RunEnded(key, took_s, record.pieces, ran=ran))
 
-    async def _relay(self, kept: KeptAttempt, version: str) -> Final:
-        """Pass pieces on until the final message.
+    async def _relay(self, record: AttemptRecord, version: str) -> Final:
+        """Forward pieces until the final message.
 
-        A process that is paused between the start and this call would hand
-        over work that nobody waits for; nothing has left this process yet.
+        If the process was paused between the start and this call, the deadline
+        may have passed, and the upstream would do work that nobody waits for.
+        Nothing was sent to it yet, so the attempt is reported as not run.
         """
-        if self._now() >= kept.deadline:
+        if self._now() >= record.deadline:
             message = 'the deadline passed before the upstream was asked'
-            return final_of(kept, Outcome.NOT_RUN, message)
-        async for part in self._upstream.run(kept.attempt, version):
-            if isinstance(part, Final):
-                return part
-            self._assert_version(part, version)
-            self.state.sent_bytes += len(part.text) + len(part.body)
-            self._heard_at = self._now()
-            kept.pieces += 1
-            kept.answers.add(RunDown(piece=part))
+            return final_of(record, Outcome.NOT_RUN, message)
+        async for event in self._upstream.run(record.attempt, version):
+            if isinstance(event, Final):
+                return event
+            self._assert_version(event, version)
+            self.state.sent_bytes += len(event.text) + len(event.body)
+            self._last_piece_at = self._now()
+            record.pieces += 1
+            record.answers.add(RunDown(piece=event))
         raise UpstreamError('no final message', step='run')
 
     def _assert_version(self, piece: Piece, version: str) -> None:
-        """No answer goes out of an engine whose version is not the ledger's."""
+        """Raise if a piece isn't of the permitted and loaded version."""
         if piece.version != version or self.state.version not in {'', version}:
             self._runtime.metrics.invariant_violated('answer_version')
             raise InvariantError(
@@ -359,12 +366,12 @@
         except UpstreamError as exc:
             self._log.info('cancel not delivered: %s', exc)
 
-    async def _forget_for_ever(self) -> None:
+    async def _remove_expired_periodically(self) -> None:
         while True:
-            await asyncio.sleep(FORGET_EVERY_S)
+            await asyncio.sleep(CLEANUP_INTERVAL_S)
             self.post(ForgetOld())
 
-    def _note_load(self) -> None:
+    def _update_load(self) -> None:
         admission = self.admission
         self.state.running = admission.running
         self.state.queued = admission.queued
@@ -373,16 +380,16 @@
         changed, self.state.changed = self.state.changed, asyncio.Event()
         changed.set()
         if not admission.running:
-            for idle in self._idle:
-                if not idle.done():
-                    idle.set_result(None)
-            self._idle.clear()
+            for waiter in self._idle_waiters:
+                if not waiter.done():
+                    waiter.set_result(None)
+            self._idle_waiters.clear()
 
     def _wait_s(self, attempt: Attempt) -> float:
         return self.admission.wait_s(attempt.customer, attempt.share)
 
     def _retry_after_s(self, attempt: Attempt) -> float:
-        return max(self._wait_s(attempt), SHORTEST_RETRY_S)
+        return max(self._wait_s(attempt), MIN_RETRY_AFTER_S)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/packages/daemon/src/crowrudder_daemon/agent/_upstream.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_upstream.py
@@ -1,4 +1,4 @@
-"""Run attempts on the upstream beside the agent, and check every answer."""
+"""Clients that run attempts on the local upstream and check its answers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 
 HTTP_OK = 200
 NOT_RUN_STATUSES = frozenset((409, 429))
-"""The engine's word that it did not begin: another version, or no slot."""
+"""Statuses by which an engine reports that it did not start the request: it has
+another version, or no free slot."""
 
 
 @frozen
@@ -45,7 +46,7 @@
 
 @frozen
 class EngineState:
-    """What an engine says of itself."""
+    """The state that an engine reports."""
 
     model: str
     version: str
@@ -56,11 +57,11 @@
 
 
 class CrossedAnswerError(UpstreamError):
-    """A part of another request's or version's answer arrived."""
+    """The upstream sent part of an answer of another request or version."""
 
 
 class EngineClient:
-    """The model engine of this host.
+    """Client of the model engine of this host.
 
     Parameters
     ----------
@@ -73,12 +74,12 @@
         self._fetcher = Fetcher(address)
 
     async def state(self) -> EngineState:
-        """Read what is loaded."""
+        """Read the engine's state."""
         answer = await self._fetcher.fetch('/v1/state', timeout_s=3)
         return msgspec.json.decode(answer.body, type=EngineState)
 
     async def order(self, order: dict[str, Any], *, timeout_s: float) -> Answer:
-        """Give an order and wait until it is carried out."""
+        """Send an order and wait until it is completed."""
         return await self._fetcher.fetch(
             '/v1/orders',
             method='POST',
@@ -87,7 +88,7 @@
         )
 
     async def put_chunk(self, version: str, index: int, body: bytes) -> None:
-        """Stage one verified chunk."""
+        """Send one verified chunk to the engine."""
         answer = await self._fetcher.fetch(
             f'/v1/weights/{version}/chunks/{index}',
             method='PUT',
@@ -106,7 +107,7 @@
         attempt: Attempt,
         version: str,
     ) -> AsyncIterator[Piece | Final]:
-        """Generate; pieces in order, then exactly one final message."""
+        """Yield the pieces in order, then exactly one final message."""
         fut, pieces = self._fetcher.stream(
             '/v1/generate',
             body=_generate_body(attempt, version),
@@ -119,12 +120,12 @@
                 yield part
                 if isinstance(part, Final):
                     return
-            yield await self._broken(fut, attempt, version)
+            yield await self._incomplete_final(fut, attempt, version)
         finally:
             fut.cancel()
 
     async def cancel(self, request_id: str) -> None:
-        """Tell the engine that nobody waits any more."""
+        """Cancel a request on the engine."""
         body = msgspec.json.encode({'request_id': request_id})
         await self._fetcher.fetch(
             '/v1/cancel',
@@ -133,13 +134,13 @@
             timeout_s=3,
         )
 
-    async def _broken(
+    async def _incomplete_final(
         self,
         fut: asyncio.Future[Any],
         attempt: Attempt,
         version: str,
     ) -> Final:
-        """Say how a stream without a ``done`` event ended."""
+        """Return the final message for a stream without a ``done`` event."""
         outcome = Outcome.UNKNOWN
         is_unreached = False
         message = 'the engine ended the answer without its last event'
@@ -167,26 +168,28 @@
 
 
 class _AnswerCheck:
-    """Check id, version and order of every event of one answer.
+    """Checks id, version and order of every event of one answer.
 
-    Engines may answer crossed or late. It would be seen as one caller's text
-    in another's answer; each event is therefore compared before it goes on.
+    An engine may mix up answers or send them late. Each event is checked
+    before it is forwarded; otherwise one caller could receive another's text.
     """
 
     def __init__(self, attempt: Attempt, version: str, peer: str) -> None:
         self._attempt = attempt
         self._version = version
         self._peer = peer
-        self._next = attempt.resume_from
+        self._next_index = attempt.resume_from
 
     def take(self, event: ServerEvent) -> Piece | Final:
         if event.name == 'done':
-            return self._done(self._decoded(event, EngineDone))
-        token = self._decoded(event, EngineToken)
-        self._same(token.request_id, token.version)
-        if token.index != self._next:
-            raise self._crossed(f'token {token.index} for {self._next}')
-        self._next += 1
+            return self._final_of(self._decode(event, EngineDone))
+        token = self._decode(event, EngineToken)
+        self._check_ids(token.request_id, token.version)
+        if token.index != self._next_index:
+            raise self._crossed_error(
+                f'token {token.index} for {self._next_index}'
+            )
+        self._next_index += 1
         return Piece(
             request_id=token.request_id,
             version=token.version,
@@ -194,10 +197,12 @@
             text=token.text,
         )
 
-    def _done(self, done: EngineDone) -> Final:
-        self._same(done.request_id, done.version)
-        if done.tokens != self._next:
-            raise self._crossed(f'{done.tokens} tokens, {self._next} arrived')
+    def _final_of(self, done: EngineDone) -> Final:
+        self._check_ids(done.request_id, done.version)
+        if done.tokens != self._next_index:
+            raise self._crossed_error(
+                f'{done.tokens} tokens, {self._next_index} arrived'
+            )
         return Final(
             request_id=done.request_id,
             outcome=Outcome.ANSWERED,
@@ -205,7 +210,7 @@
             pieces=done.tokens,
         )
 
-    def _decoded(self, event: ServerEvent, kind: type[_Event]) -> _Event:
+    def _decode(self, event: ServerEvent, kind: type[_Event]) -> _Event:
         try:
             return msgspec.json.decode(event.payload, type=kind)
         except (msgspec.MsgspecError, RecursionError) as exc:
@@ -215,18 +220,18 @@
                 peer=self._peer,
             ) from exc
 
-    def _same(self, request_id: str, version: str) -> None:
+    def _check_ids(self, request_id: str, version: str) -> None:
         if request_id != self._attempt.key.request_id:
-            raise self._crossed(f'a part of {request_id}')
+            raise self._crossed_error(f'a part of {request_id}')
         if version != self._version:
-            raise self._crossed(f'a part of version {version}')
+            raise self._crossed_error(f'a part of version {version}')
 
-    def _crossed(self, what: str) -> CrossedAnswerError:
+    def _crossed_error(self, what: str) -> CrossedAnswerError:
         return CrossedAnswerError(what, step='answer', peer=self._peer)
 
 
 class PlainClient:
-    """The plain service of this host.
+    """Client of the plain service of this host.
 
     Parameters
     ----------
@@ -243,7 +248,7 @@
         attempt: Attempt,
         version: str,
     ) -> AsyncIterator[Piece | Final]:
-        """Make the call; one piece with the body, then the final message."""
+        """Make the call; yield a piece with the body, then the final message."""
         request_id = attempt.key.request_id
         try:
             answer = await self._fetcher.fetch(
@@ -284,7 +289,7 @@
         )
 
     async def cancel(self, request_id: str) -> None:
-        """Plain services can't cancel; nothing is sent."""
+        """Do nothing: plain services don't support cancellation."""
 
 
 def _lost_outcome(exc: UpstreamError) -> Outcome:
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/__init__.py
@@ -1,4 +1,4 @@
-"""Bring the declared weights to this host's engine."""
+"""Load the declared weights into this host's engine."""
 
 from crowrudder_daemon.agent.weights._goal import is_withdrawn
 from crowrudder_daemon.agent.weights._task import SnapshotCame, WeightsTask
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_goal.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_goal.py
@@ -1,4 +1,4 @@
-"""What the declared files want of this host's engine."""
+"""The declared goal of this host's engine."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @frozen
 class Goal:
-    """What this host's engine shall answer with, and who else shall."""
+    """The service, version and adapters that this host's engine must serve."""
 
     service: Service
     version: Version
@@ -31,12 +31,12 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """The names of all weights that are wanted."""
+        """The names of the version and its adapters."""
         return frozenset((self.version.name, *(a.name for a in self.adapters)))
 
     @property
     def target(self) -> Target:
-        """What the engine is ordered."""
+        """The target of orders to the engine."""
         generation, digest = self.order
         return Target(
             generation=generation,
@@ -45,8 +45,8 @@
             version=self.version.name,
         )
 
-    def same_weights(self, other: Goal | None) -> bool:
-        """Whether the other goal is reached by the same transfer."""
+    def has_same_weights(self, other: Goal | None) -> bool:
+        """Return whether both goals need the same weights for one service."""
         return (
             other is not None
             and other.version == self.version
@@ -56,7 +56,7 @@
 
 
 def goal_of(snapshot: Snapshot, host: str) -> Goal | None:
-    """Give a host's goal; None when no version is placed on it."""
+    """Return a host's goal; None when no version is placed on it."""
     service = snapshot.placement.get(host)
     if service is None or snapshot.bundle is None:
         return None
@@ -74,19 +74,19 @@
 
 
 def is_withdrawn(snapshot: Snapshot, host: str) -> bool:
-    """Whether the files place nothing on a host that is listed as live.
+    """Return whether no service is placed on a host that is listed as live.
 
-    A host that the list lacks is not withdrawn: the list lags, and may be
-    wrong for a while, and a host that goes by it would stop for nothing.
+    A host that is missing from the member list isn't withdrawn: the list lags
+    and may be temporarily wrong, so the host would stop without cause.
     """
     member = snapshot.member(host)
-    listed = member is not None and member.state == 'live'
-    placed = host in snapshot.placement
-    return snapshot.bundle is not None and listed and not placed
+    is_live = member is not None and member.state == 'live'
+    is_placed = host in snapshot.placement
+    return snapshot.bundle is not None and is_live and not is_placed
 
 
 def places_of(snapshot: Snapshot, service: str) -> dict[str, Place]:
-    """Give the place of each host that a service is placed on."""
+    """Return the place of each host of a service, by host."""
     return {
         member.host: Place(member.region, member.failure_domain)
         for member in snapshot.hosts_of(service)
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_loading.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_loading.py
@@ -1,4 +1,4 @@
-"""Stage verified weights, wait for the turn, and have the engine load them."""
+"""Stage verified weights and load them in the order of the rolling change."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     from crowrudder_daemon.chunks._stock import EngineNote
     from crowrudder_daemon.knowledge import Snapshot
 
-TURN_POLL_S = 0.2
+TURN_POLL_INTERVAL_S = 0.2
 EMPTY_DIGEST = hashlib.sha256(b'').hexdigest()
 
 
 class Loader:
-    """Brings whole weights into the engine.
+    """Loads complete weights into the engine.
 
     Parameters
     ----------
-    say
-        Takes the words on what is waited for.
+    on_progress
+        Called with a description of the current step.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         runs: RunsTask,
         peers: PeerSource,
         note: EngineNote,
-        say: Callable[[str], None],
+        on_progress: Callable[[str], None],
     ) -> None:
         self._engine = engine
         self._orders = orders
         self._runs = runs
         self._peers = peers
-        self._note = note
-        self._say = say
+        self._engine_status = note
+        self._set_blocking_reason = on_progress
 
     async def load(
         self,
@@ -60,23 +60,23 @@
         transfer: Transfer,
         snapshot: Callable[[], Snapshot],
     ) -> EngineState:
-        """Verify, stage, wait for the turn, then order and read back.
+        """Verify and stage the weights, wait for the turn, and load them.
 
         Raises
         ------
         InvariantError
-            When the weights aren't whole.
+            When the weights aren't complete.
         """
         await asyncio.to_thread(transfer.assert_whole)
-        self._say('hands the weights to the engine')
+        self._set_blocking_reason('hands the weights to the engine')
         await self._stage(transfer, goal.version.name)
-        self._say('waits for its turn in the rolling change')
+        self._set_blocking_reason('waits for its turn in the rolling change')
         await self._await_turn(goal, transfer, snapshot)
-        self._note.changing = True
+        self._engine_status.changing = True
         try:
             return await self._pause_and_order(goal, transfer)
         finally:
-            self._note.changing = False
+            self._engine_status.changing = False
 
     async def load_adapter(
         self,
@@ -84,9 +84,9 @@
         name: str,
         transfer: Transfer | None,
     ) -> EngineState:
-        """Have the engine load an adapter beside its version, which answers on.
+        """Load an adapter into the engine, which keeps serving its version.
 
-        An adapter without a transfer came with the version's own weights.
+        An adapter without a transfer is part of the version's own weights.
         """
         staged = StagedWeights(chunks=0, digest=EMPTY_DIGEST)
         if transfer is not None:
@@ -99,7 +99,7 @@
         return await self._orders.load_adapter(goal.target, name, staged)
 
     async def _stage(self, transfer: Transfer, version: str) -> None:
-        """Hand the verified chunks to the engine; it answers meanwhile."""
+        """Send the verified chunks to the engine, which keeps serving."""
         for index in range(transfer.count):
             payload = transfer.chunk(index)
             if payload is not None:
@@ -114,7 +114,7 @@
         while True:
             if await self._is_turn(goal, snapshot(), transfer):
                 return
-            await asyncio.sleep(TURN_POLL_S)
+            await asyncio.sleep(TURN_POLL_INTERVAL_S)
 
     async def _is_turn(
         self,
@@ -126,32 +126,34 @@
             member.host: member.rpc_address
             for member in snapshot.hosts_of(goal.service.name)
         }
-        chain = predecessors(
+        preceding_hosts = predecessors(
             service=goal.service.name,
             version=goal.version.name,
             host=transfer.host,
             hosts=members,
             share=goal.service.rolling_share,
         )
-        asked = Asked(
+        version_ref = Asked(
             transfer.host, goal.version.name, transfer.manifest_digest
         )
         loaded: dict[str, str] = {}
-        for host in chain:
-            answer = await self._loaded_of(members[host], asked)
+        for host in preceding_hosts:
+            answer = await self._read_loaded_version(members[host], version_ref)
             if answer is not None:
                 loaded[host] = answer
                 break
         return may_change(
             goal.version.name,
-            chain,
+            preceding_hosts,
             loaded,
-            has_loaded=bool(self._note.loaded),
+            has_loaded=bool(self._engine_status.loaded),
         )
 
-    async def _loaded_of(self, address: str, asked: Asked) -> str | None:
+    async def _read_loaded_version(
+        self, address: str, version_ref: Asked
+    ) -> str | None:
         try:
-            reply = await self._peers.stock(address, asked)
+            reply = await self._peers.stock(address, version_ref)
         except CrowrudderError:
             return None
         return '' if reply.changing else reply.loaded
@@ -163,11 +165,11 @@
     ) -> EngineState:
         idle = asyncio.get_running_loop().create_future()
         self._runs.post(PauseRuns(idle))
-        self._say('waits for running answers to end')
+        self._set_blocking_reason('waits for running answers to end')
         await idle
-        self._say('the engine is loading')
-        # The version may have been given up while the answers ended, and a
-        # process may wake up here after a long pause.
+        self._set_blocking_reason('the engine is loading')
+        # The version may have been dropped while the answers ended, and the
+        # process may resume here after a long pause.
         await asyncio.to_thread(transfer.assert_whole)
         manifest = transfer.manifest
         staged = StagedWeights(chunks=transfer.count, digest=manifest.digest)
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_manifests.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_manifests.py
@@ -1,4 +1,4 @@
-"""Get a manifest, from the origin only where no other agent has it."""
+"""Read a manifest from other agents, or else from the origin."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     from crowrudder_daemon.agent.weights._origin_source import OriginSource
     from crowrudder_daemon.chunks import Artifact, PeerSource
 
-TRY_S = 0.25
-OTHERS_ASKED = 2
+RETRY_INTERVAL_S = 0.25
+SAMPLED_PEERS = 2
 
 
 class ManifestReader:
-    """Read manifests; they are small, but 1,800 hosts want one at once.
+    """Reads manifests with a bounded load on the origin.
 
-    The first host in rendezvous order reads it from the origin, and each
-    further one only after as many tries at other agents.
+    Manifests are small, but 1,800 hosts request one at once. The host of rank
+    0 in rendezvous order reads from the origin immediately; a host of rank N
+    does so only after N failed rounds of requests to other agents.
     """
 
     def __init__(
@@ -43,40 +44,40 @@
         artifact: Artifact,
         members: dict[str, str],
     ) -> bytes:
-        """Give a manifest whose digest is the declared one.
+        """Return the manifest that has the declared digest.
 
-        ``members`` gives the addresses of the hosts that want it, by name.
+        ``members`` holds the addresses of the hosts that need it, by name.
         """
         order = ranked(f'{artifact.name}/manifest', members)
-        own = order.index(self._host) if self._host in order else len(order)
+        rank = order.index(self._host) if self._host in order else len(order)
         tries = 0
-        while own > tries:
-            payload = await self._from_peers(artifact, members, order)
+        while rank > tries:
+            payload = await self._read_from_peers(artifact, members, order)
             if payload:
                 return payload
             tries += 1
-            await asyncio.sleep(TRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return await self._origin.manifest(artifact.name)
 
-    async def _from_peers(
+    async def _read_from_peers(
         self,
         artifact: Artifact,
         members: dict[str, str],
         order: list[str],
     ) -> bytes:
         others = [host for host in order[1:] if host != self._host]
-        count = min(OTHERS_ASKED, len(others))
+        count = min(SAMPLED_PEERS, len(others))
         for host in (order[0], *self._random.sample(others, count)):
-            payload = await self._from_peer(artifact, members[host])
+            payload = await self._read_from_peer(artifact, members[host])
             if payload:
                 return payload
         return b''
 
-    async def _from_peer(self, artifact: Artifact, address: str) -> bytes:
+    async def _read_from_peer(self, artifact: Artifact, address: str) -> bytes:
         declared = artifact.manifest
-        asked = Asked(self._host, artifact.name, declared)
+        version_ref = Asked(self._host, artifact.name, declared)
         try:
-            payload = await self._peers.manifest(address, asked)
+            payload = await self._peers.manifest(address, version_ref)
             if payload:
                 decode_manifest(payload, declared=declared, peer=address)
         except (PeerLostError, ManifestError):
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_origin_source.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_origin_source.py
@@ -16,27 +16,27 @@
 
 HTTP_OK = 200
 SOURCE_TIMEOUT_S = 3600.0
-"""Longest read of a chunk that moves; one that stalls is ended earlier."""
+"""Longest read of a chunk that makes progress; a stalled one ends earlier."""
 
-STORE_CLOSED_S = 10.0
+STORE_BACKOFF_S = 10.0
 
 
 class OriginSource:
-    """Weights from the store, or from the origin where it has nothing."""
+    """Reads weights from the store, with the origin as fallback."""
 
     def __init__(self, weights: WeightsSection) -> None:
         self._origin = Fetcher(weights.origin)
         self._store = Fetcher(weights.store) if weights.store else None
-        self._store_opens_at = 0.0
+        self._store_retry_at = 0.0
 
     def distrust_store(self) -> None:
-        """Leave the store alone for a while: down, lacking or corrupted."""
+        """Skip the store temporarily: it is down, incomplete or corrupt."""
         now = asyncio.get_running_loop().time()
-        self._store_opens_at = now + STORE_CLOSED_S
+        self._store_retry_at = now + STORE_BACKOFF_S
 
     async def manifest(self, version: str) -> bytes:
         """Read a manifest."""
-        return await self._read(f'/v1/weights/{version}/manifest', _ignore)
+        return await self._read(f'/v1/weights/{version}/manifest', _ignore_size)
 
     async def chunk(
         self,
@@ -44,14 +44,14 @@
         index: int,
         on_piece: Callable[[int], None],
     ) -> bytes:
-        """Read a chunk; ``on_piece`` gets the bytes of each piece.
+        """Read a chunk; ``on_piece`` receives the size of each piece in bytes.
 
         Raises
         ------
         NoSourceError
-            When no byte of it can have been sent.
+            When the source can't have sent any byte of it.
         UpstreamError
-            When the source was lost on the way.
+            When the source failed during the transfer.
         """
         path = f'/v1/weights/{version}/chunks/{index}'
         return await self._read(path, on_piece)
@@ -62,7 +62,7 @@
         on_piece: Callable[[int], None],
     ) -> bytes:
         now = asyncio.get_running_loop().time()
-        if self._store is not None and now >= self._store_opens_at:
+        if self._store is not None and now >= self._store_retry_at:
             try:
                 return await _fetch(self._store, path, on_piece)
             except NoSourceError:
@@ -80,7 +80,7 @@
 ) -> bytes:
     pieces: list[bytes] = []
 
-    def take(piece: bytes) -> None:
+    def receive(piece: bytes) -> None:
         pieces.append(piece)
         on_piece(len(piece))
 
@@ -88,20 +88,20 @@
         answer = await source.fetch(
             path,
             timeout_s=SOURCE_TIMEOUT_S,
-            on_piece=take,
+            on_piece=receive,
         )
     except UpstreamError as exc:
         if isinstance(exc.__cause__, ConnectionRefusedError):
-            raise _nothing(source, path, 'refuses connections') from exc
+            raise _no_source(source, path, 'refuses connections') from exc
         raise
     if answer.status != HTTP_OK:
-        raise _nothing(source, path, f'answered {answer.status}')
+        raise _no_source(source, path, f'answered {answer.status}')
     return b''.join(pieces)
 
 
-def _nothing(source: Fetcher, path: str, reason: str) -> NoSourceError:
+def _no_source(source: Fetcher, path: str, reason: str) -> NoSourceError:
     return NoSourceError(reason, step=path, peer=source.address)
 
 
-def _ignore(_size: int) -> None:
-    """Take no note of a manifest's pieces."""
+def _ignore_size(_size: int) -> None:
+    """Ignore the size of a manifest's pieces."""
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_words.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_progress_line.py
@@ -1,4 +1,4 @@
-"""A transfer's progress in a line for operators."""
+"""Format a transfer's progress as one line for operators."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def progress_line(transfer: Transfer, *, now: float) -> str:
-    """Say how far a version is, how fast, until when, and what it waits for."""
+    """Return share, rate, time left and wait reasons of a transfer."""
     left_s = transfer.progress.left_s(now)
-    end = 'no end in sight' if left_s is None else f'{left_s:.0f} s left'
+    time_left = 'no end in sight' if left_s is None else f'{left_s:.0f} s left'
     rate = transfer.progress.rate(now) / MEGABYTE
     waits_for = ', '.join(transfer.waits_for())
     return (
         f'{transfer.manifest.version} is on its way: {transfer.share:.0%}, '
-        f'{rate:.1f} MB/s, {end}; waits for {waits_for or "nothing"}'
+        f'{rate:.1f} MB/s, {time_left}; waits for {waits_for or "nothing"}'
     )
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_task.py
@@ -22,7 +22,7 @@
 from crowrudder_daemon.agent.weights._loading import Loader
 from crowrudder_daemon.agent.weights._manifests import ManifestReader
 from crowrudder_daemon.agent.weights._origin_source import OriginSource
-from crowrudder_daemon.agent.weights._words import progress_line
+from crowrudder_daemon.agent.weights._progress_line import progress_line
 from crowrudder_daemon.chunks import Artifact
 from crowrudder_daemon.chunks._collect import Collector
 from crowrudder_daemon.chunks._shelf import Shelf
@@ -41,22 +41,22 @@
     from crowrudder_daemon.rpc import PeerClient, PeerServer
     from crowrudder_daemon.settings import WeightsSection
 
-RETRY_S = 0.5
-LIVE_S = 0.2
-BURST_S = 0.05
+RETRY_INTERVAL_S = 0.5
+LIVE_LOAD_INTERVAL_S = 0.2
+LINK_BURST_S = 0.05
 WITHDRAW_AFTER_S = 5.0
-"""Seconds for which a host must stay without a service before it stops."""
+"""How long a host must be without a service before it stops serving."""
 
 
 @frozen
 class SnapshotCame:
-    """Configuration or members changed."""
+    """The configuration or the members changed."""
 
     snapshot: Snapshot
 
 
 class WeightsTask(Task):
-    """Owns the transfers of a host and the way of its engine to the goal."""
+    """Owns the transfers of a host and brings its engine to the goal."""
 
     def __init__(
         self,
@@ -67,8 +67,8 @@
     ) -> None:
         super().__init__(runtime.log)
         weights = required(runtime.cfg.weights, 'weights')
-        self._hinders = ''
-        self._collecting: Transfer | None = None
+        self._blocking_reason = ''
+        self._active_transfer: Transfer | None = None
         self._runtime = runtime
         self._engine = engine
         self._runs = runs
@@ -76,11 +76,11 @@
         self._snapshot = Snapshot()
         self._goal: Goal | None = None
         self._job: asyncio.Task[Any] | None = None
-        self._note = EngineNote()
+        self._engine_status = EngineNote()
         self._shelf = Shelf(runtime, weights)
         self._watch = WeightsWatch(runtime, self._shelf)
-        self._downlink = _link(weights)
-        self._uplink = _link(weights)
+        self._downlink = _link_share(weights)
+        self._uplink = _link_share(weights)
         self._peers = PeerSource(peers)
         self._origin = OriginSource(weights)
         self._manifests = ManifestReader(
@@ -95,42 +95,42 @@
             orders=self._orders,
             runs=runs,
             peers=self._peers,
-            note=self._note,
-            say=self._say,
+            note=self._engine_status,
+            on_progress=self._set_blocking_reason,
         )
         self._service = ChunkService(
             self._shelf,
-            self._note,
+            self._engine_status,
             UploadSlots(weights.upload_slots),
             self._uplink,
             self._watch.sent,
         )
 
     def serve(self, server: PeerServer) -> None:
-        """Answer the calls of other agents."""
+        """Register the calls of other agents on the server."""
         self._service.serve(server)
 
     def start(self) -> None:
-        """Start the loop and the look at live requests."""
+        """Start the loop and the reporting of live load to the link shares."""
         super().start()
-        self.spawn(self._yield_to_live())
+        self.spawn(self._report_live_load())
 
     @property
     def hinders(self) -> str:
-        """What keeps the engine from the declared version; empty for none."""
-        if self._collecting is None:
-            return self._hinders
+        """Why the engine hasn't the declared version; empty if it has."""
+        if self._active_transfer is None:
+            return self._blocking_reason
         now = asyncio.get_running_loop().time()
-        return progress_line(self._collecting, now=now)
+        return progress_line(self._active_transfer, now=now)
 
     @property
     def loaded(self) -> str:
-        """The version that the engine was last read back with."""
-        return self._note.loaded
+        """The version that the engine last reported."""
+        return self._engine_status.loaded
 
     @property
     def declared(self) -> str:
-        """The version that this host shall have."""
+        """The version that is declared for this host."""
         return self._goal.version.name if self._goal else ''
 
     @property
@@ -142,7 +142,7 @@
         return transfer.share if transfer else 0
 
     def status(self) -> list[dict[str, Any]]:
-        """Tell of each version how far it is and what it waits for."""
+        """Return the progress and wait reasons of each transfer."""
         now = asyncio.get_running_loop().time()
         return [
             {
@@ -159,48 +159,48 @@
         ]
 
     def on_snapshot_came(self, message: SnapshotCame) -> None:
-        """Pursue the goal that the declared files give this host."""
+        """Update the goal and start or keep the job that reaches it."""
         self._snapshot = message.snapshot
         goal = goal_of(message.snapshot, self._host)
         if goal is None and not is_withdrawn(message.snapshot, self._host):
             return
         before, self._goal = self._goal, goal
-        self._note.wanted = goal.names if goal else frozenset()
-        self._tell_hosts()
-        if not self._goes_on(before):
-            self._begin()
+        self._engine_status.wanted = goal.names if goal else frozenset()
+        self._update_hosts()
+        if not self._is_job_current(before):
+            self._start_job()
 
-    def _goes_on(self, before: Goal | None) -> bool:
-        """Whether the job under way is still the right one."""
+    def _is_job_current(self, before: Goal | None) -> bool:
+        """Return whether the running job still fits the goal."""
         if self._job is None:
             return False
         if self._goal is None:
             return before is None
-        return self._goal.same_weights(before) and not self._job.done()
+        return self._goal.has_same_weights(before) and not self._job.done()
 
-    def _begin(self) -> None:
-        """Start the job that the goal asks for, in place of the last."""
+    def _start_job(self) -> None:
+        """Replace the previous job by one for the current goal."""
         if self._job is not None:
             self._job.cancel()
             self._job = None
-        self._shelf.drop_others(self._note.wanted)
+        self._shelf.drop_others(self._engine_status.wanted)
         goal = self._goal
-        work = self._pursue(goal) if goal else self._withdraw()
-        self._job = self.spawn(work)
+        coroutine = self._reconcile(goal) if goal else self._withdraw()
+        self._job = self.spawn(coroutine)
 
     async def _withdraw(self) -> None:
-        """Answer no more on a host that the files no longer place.
+        """Stop serving on a host on which no service is placed any more.
 
-        Without this the host would go on with a model that was withdrawn,
-        seen as answers of a version that no file declares. The wait keeps a
-        member list that flaps from costing a replica.
+        Without this the host would keep answering with a version that no file
+        declares. The delay keeps a flapping member list from stopping a
+        replica.
         """
         await asyncio.sleep(WITHDRAW_AFTER_S)
         idle = asyncio.get_running_loop().create_future()
         self._runs.post(PauseRuns(idle))
         await idle
-        before, self._note.loaded = self._note.loaded, ''
-        self._hinders = ''
+        before, self._engine_status.loaded = self._engine_status.loaded, ''
+        self._blocking_reason = ''
         if before:
             self._runtime.audit.note(
                 kind='loaded_version',
@@ -210,46 +210,48 @@
                 after='',
             )
 
-    def _tell_hosts(self) -> None:
-        """Tell the transfers under way which hosts there are."""
+    def _update_hosts(self) -> None:
+        """Update the hosts and their places in the active transfers."""
         if self._goal is None:
             return
         places = places_of(self._snapshot, self._goal.service.name)
         for name in self._goal.names & self._shelf.transfers.keys():
             self._shelf.transfers[name].on_hosts(places)
 
-    async def _pursue(self, goal: Goal) -> None:
-        """Bring the engine to the goal's version, and keep it there."""
+    async def _reconcile(self, goal: Goal) -> None:
+        """Load the goal's version, and reload it whenever the engine loses it."""
         while True:
             goal = self._goal or goal
             try:
-                await self._reach(goal)
+                await self._load_goal(goal)
             except CrowrudderError as exc:
-                self._on_hindrance(exc)
-                await asyncio.sleep(RETRY_S)
+                self._on_failure(exc)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
-            self._hinders = ''
-            await self._keep(goal)
+            self._blocking_reason = ''
+            await self._watch_engine(goal)
 
-    def _on_hindrance(self, exc: CrowrudderError) -> None:
-        self._hinders = str(exc)
+    def _on_failure(self, exc: CrowrudderError) -> None:
+        self._blocking_reason = str(exc)
         if isinstance(exc, InvariantError):
             self._watch.refused(exc)
         self._log.warning('not loaded yet: %s', exc)
 
-    async def _keep(self, goal: Goal) -> None:
-        """Wait until the engine has something else, then stop the runs."""
+    async def _watch_engine(self, goal: Goal) -> None:
+        """Wait until the engine leaves the target version, then pause the runs."""
         try:
             await self._orders.until_changed(goal.target)
         except CrowrudderError as exc:
             self._log.warning('the engine was not read: %s', exc)
             return
-        self._note.loaded = ''
-        self._hinders = 'the engine no longer shows the declared version'
+        self._engine_status.loaded = ''
+        self._blocking_reason = (
+            'the engine no longer shows the declared version'
+        )
         idle = asyncio.get_running_loop().create_future()
         self._runs.post(PauseRuns(idle))
 
-    async def _reach(self, goal: Goal) -> None:
+    async def _load_goal(self, goal: Goal) -> None:
         state = await self._orders.loaded(goal.target)
         if state is None:
             transfer = await self._collect(goal, goal.artifact)
@@ -262,17 +264,17 @@
                 await self._add_adapter(goal, adapter)
 
     async def _add_adapter(self, goal: Goal, adapter: Artifact) -> None:
-        """Bring an adapter to the engine, which answers meanwhile."""
+        """Load an adapter into the engine, which keeps serving meanwhile."""
         transfer = None
         if adapter.manifest:
             transfer = await self._collect(goal, adapter)
-        self._say(f'the engine is loading {adapter.name}')
+        self._set_blocking_reason(f'the engine is loading {adapter.name}')
         state = await self._loader.load_adapter(goal, adapter.name, transfer)
         self._note_loaded(goal, state)
 
     async def _collect(self, goal: Goal, artifact: Artifact) -> Transfer:
-        """Read chunks until all of a version or an adapter are held."""
-        self._say('waits for the manifest')
+        """Collect all chunks of a version or an adapter."""
+        self._set_blocking_reason('waits for the manifest')
         payload = self._shelf.manifest(artifact.name, artifact.manifest)
         if not payload:
             members = {
@@ -285,7 +287,7 @@
             artifact,
             copies=goal.service.origin_copies,
         )
-        self._tell_hosts()
+        self._update_hosts()
         collector = Collector(
             transfer,
             peers=self._peers,
@@ -295,16 +297,16 @@
             watch=self._watch,
             own_stock=lambda: self._service.stock(artifact.name, transfer),
         )
-        self._collecting = transfer
+        self._active_transfer = transfer
         try:
             await collector.run()
         finally:
-            self._collecting = None
+            self._active_transfer = None
         return transfer
 
     def _note_loaded(self, goal: Goal, state: EngineState) -> None:
-        before = self._note.loaded
-        self._note.loaded = state.version
+        before = self._engine_status.loaded
+        self._engine_status.loaded = state.version
         self._runs.post(
             ResumeRuns(goal.service.name, state.version, state.adapters),
         )
@@ -317,11 +319,11 @@
                 after=state.version,
             )
 
-    async def _yield_to_live(self) -> None:
-        """Tell the links again and again what live requests take."""
+    async def _report_live_load(self) -> None:
+        """Periodically report the traffic of live requests to the link shares."""
         seen = 0
         while True:
-            await asyncio.sleep(LIVE_S)
+            await asyncio.sleep(LIVE_LOAD_INTERVAL_S)
             state = self._runs.state
             now = asyncio.get_running_loop().time()
             for link in (self._downlink, self._uplink):
@@ -332,14 +334,14 @@
         member = self._snapshot.member(host)
         return member.rpc_address if member else None
 
-    def _say(self, what: str) -> None:
-        self._hinders = what
+    def _set_blocking_reason(self, reason: str) -> None:
+        self._blocking_reason = reason
 
 
-def _link(weights: WeightsSection) -> LinkShare:
+def _link_share(weights: WeightsSection) -> LinkShare:
     rate = float(weights.link_bytes_per_s)
     return LinkShare(
         rate=rate,
-        burst=BURST_S * rate,
+        burst=LINK_BURST_S * rate,
         live_share=weights.live_share,
     )
--- a/packages/daemon/src/crowrudder_daemon/fetch/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/fetch/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP calls by tornado's client, each over a connection of its own.
+"""HTTP calls by tornado's client, each over its own connection.
 
-Apart from `crowrudder_daemon.http`, which processes of a fleet use: the import
-of the client would be a part of each of their starts.
+Separate from `crowrudder_daemon.http`, which processes of a fleet use, so that
+they don't import tornado's client at each start.
 """
 
 from crowrudder_daemon.fetch._fetch import (
--- a/packages/daemon/src/crowrudder_daemon/fetch/_fetch.py
+++ b/packages/daemon/src/crowrudder_daemon/fetch/_fetch.py
@@ -1,4 +1,4 @@
-"""A thin client over tornado's, with typed answers and errors."""
+"""A thin wrapper of tornado's HTTP client with typed answers and errors."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
-MOST_CONNECTIONS = 512
+MAX_CONNECTIONS = 512
 CONNECT_TIMEOUT_S = 3.0
-BODY_BYTES = 256 * 1024 * 1024
+MAX_BODY_BYTES = 256 * 1024 * 1024
 
 
 @frozen
@@ -29,7 +29,7 @@
     body: bytes
 
     def header(self, name: str) -> str:
-        """Give a header's value; empty where there is none."""
+        """Return a header's value; empty if it is absent."""
         wanted = name.lower()
         for key, text in self.headers:
             if key.lower() == wanted:
@@ -37,7 +37,7 @@
         return ''
 
     def json(self) -> Any:
-        """Decode the body."""
+        """Decode the body as JSON."""
         return msgspec.json.decode(self.body)
 
 
@@ -50,7 +50,7 @@
 
 
 class Fetcher:
-    """HTTP calls to one outside address.
+    """HTTP client of one external address.
 
     Parameters
     ----------
@@ -62,8 +62,8 @@
         self.address = address
         self._client = SimpleAsyncHTTPClient(
             force_instance=True,
-            max_clients=MOST_CONNECTIONS,
-            max_body_size=BODY_BYTES,
+            max_clients=MAX_CONNECTIONS,
+            max_body_size=MAX_BODY_BYTES,
         )
 
     async def fetch(
@@ -76,24 +76,24 @@
         timeout_s: float = 10.0,
         on_piece: Callable[[bytes], None] | None = None,
     ) -> Answer:
-        """Make one call; never retried, never redirected.
+        """Make one call without retries or redirects.
 
-        With ``on_piece`` the body goes there as it comes, and the answer's
-        body is empty.
+        With ``on_piece`` the body is passed there as it arrives, and the
+        answer's body is empty.
 
         Raises
         ------
         UpstreamError
-            When there was no whole HTTP answer in time.
+            When no complete HTTP answer arrived in time.
         """
         req = self._request(path, method, body, headers, timeout_s)
         req.streaming_callback = on_piece
         try:
             reply = await self._client.fetch(req, raise_error=False)
         except (HTTPError, OSError) as exc:
-            raise self._failed(path, exc) from exc
-        if reply.code == _NO_ANSWER:
-            raise self._failed(path, reply.error)
+            raise self._upstream_error(path, exc) from exc
+        if reply.code == _NO_RESPONSE_STATUS:
+            raise self._upstream_error(path, reply.error)
         return Answer(
             reply.code,
             tuple(reply.headers.get_all()),
@@ -108,10 +108,10 @@
         headers: tuple[tuple[str, str], ...] = (),
         timeout_s: float,
     ) -> tuple[asyncio.Future[Any], asyncio.Queue[bytes | None]]:
-        """POST and read the answer piece by piece.
+        """Send a POST request and stream the answer.
 
-        The queue ends with None once the answer ended or broke; the future
-        then tells which.
+        The queue ends with None once the answer is complete or failed; the
+        future then holds the result.
         """
         pieces: asyncio.Queue[bytes | None] = asyncio.Queue()
         req = self._request(path, 'POST', body, headers, timeout_s)
@@ -123,7 +123,7 @@
         return fut, pieces
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         self._client.close()
 
     def _request(
@@ -146,17 +146,19 @@
             allow_nonstandard_methods=True,
         )
 
-    def _failed(self, path: str, exc: BaseException | None) -> UpstreamError:
+    def _upstream_error(
+        self, path: str, exc: BaseException | None
+    ) -> UpstreamError:
         return UpstreamError(str(exc), step=path, peer=self.address)
 
 
-_NO_ANSWER = 599
+_NO_RESPONSE_STATUS = 599
 
 
 async def stream_events(
     pieces: asyncio.Queue[bytes | None],
 ) -> AsyncIterator[ServerEvent]:
-    """Split a stream of bytes into server-sent events."""
+    """Yield the server-sent events of a byte stream."""
     pending = b''
     while (piece := await pieces.get()) is not None:
         pending += piece
--- a/tests/requests/test_reports.py
+++ b/tests/requests/test_reports.py
@@ -1,4 +1,4 @@
-"""When an agent reports to its entries."""
+"""Timing of the reports from an agent to its entries."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class TestReports:
-    """Symptom: reports take more of the network than all other control.
+    """Reports must not exceed all other control traffic.
 
-    Sequence: an agent under load starts and ends runs many times a second;
-    each change went to each entry. Cause: any change of load was urgent.
+    An agent under load starts and ends runs many times a second. If each
+    change of load were reported at once, every entry would receive each.
     """
 
     def test_load_waits_for_the_interval_and_a_new_version_does_not(self):
--- a/tests/requests/test_runs_task.py
+++ b/tests/requests/test_runs_task.py
@@ -1,4 +1,4 @@
-"""The agent's task, with a fake upstream and by its messages."""
+"""The agent's runs task, driven by messages, with a fake upstream."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from crowrudder_daemon.agent._answer_log import AnswerLog
 from crowrudder_daemon.agent._run_messages import (
-    AttemptCame,
-    CancelCame,
+    AttemptReceived,
+    CancelReceived,
     DrainRuns,
     OwnerLost,
     PauseRuns,
-    PermitCame,
+    PermitReceived,
     ResumeRuns,
-    SettleCame,
+    SettleReceived,
 )
 from crowrudder_daemon.agent._runs import RunsTask
 from crowrudder_daemon.process import Runtime
@@ -36,7 +36,7 @@
 
 @define
 class FakeUpstream:
-    """Answers two pieces, the second once `gate` is open."""
+    """Sends two pieces, and goes on after each once `gate` is set."""
 
     outcome: Outcome = Outcome.ANSWERED
     gate: asyncio.Event = field(factory=asyncio.Event)
@@ -61,7 +61,7 @@
         )
 
     async def cancel(self, request_id: str) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
 
 ATTEMPT = Attempt(
@@ -88,12 +88,12 @@
     key: AttemptKey,
 ) -> tuple[SettledState, AnswerLog | None]:
     reply = asyncio.get_running_loop().create_future()
-    task.post(SettleCame(key, reply))
+    task.post(SettleReceived(key, reply))
     return await reply
 
 
-async def turn(times: int = 20) -> None:
-    """Let everything that is ready run."""
+async def run_ready(times: int = 20) -> None:
+    """Yield to the event loop so that ready callbacks run."""
     for _ in range(times):
         await asyncio.sleep(0)
 
@@ -103,24 +103,24 @@
 
 
 class TestSettle:
-    """What an entry finds when it comes back."""
+    """Settling an attempt after its entry lost the connection."""
 
-    def test_a_finished_answer_is_still_there(self):
-        """Symptom: an answer that was whole ends as unknown.
+    def test_completed_answer_can_be_read_after_settling(self):
+        """A complete answer must not end as unknown.
 
-        Sequence: the run finishes; the connection to the entry breaks before
-        the last messages are read; the entry asks to settle.
-        Cause: the end of the stream dropped the answer of an ended run.
+        The run finishes, the connection to the entry breaks before the last
+        messages are read, and the entry settles. The failure occurs if the end
+        of the stream drops the answer of an ended run.
         """
 
         async def story() -> None:
             upstream = FakeUpstream()
             upstream.gate.set()
             task, answers = task_of(upstream), AnswerLog()
-            task.post(AttemptCame(ATTEMPT, answers))
-            await turn()
-            task.post(PermitCame(ATTEMPT.key, granted=True))
-            await turn()
+            task.post(AttemptReceived(ATTEMPT, answers))
+            await run_ready()
+            task.post(PermitReceived(ATTEMPT.key, granted=True))
+            await run_ready()
             task.post(OwnerLost(ATTEMPT.key))
             state, kept = await settled(task, ATTEMPT.key)
             assert state is SettledState.ATTACHED
@@ -132,29 +132,29 @@
 
         run(story())
 
-    def test_what_waits_never_starts_once_settled(self):
+    def test_queued_attempt_never_starts_once_settled(self):
         async def story() -> None:
             upstream = FakeUpstream()
             task, answers = task_of(upstream), AnswerLog()
-            task.post(AttemptCame(ATTEMPT, answers))
-            await turn()
+            task.post(AttemptReceived(ATTEMPT, answers))
+            await run_ready()
             state, _ = await settled(task, ATTEMPT.key)
-            task.post(PermitCame(ATTEMPT.key, granted=True))
-            await turn()
+            task.post(PermitReceived(ATTEMPT.key, granted=True))
+            await run_ready()
             assert state is SettledState.NEVER_STARTS
             assert not upstream.ran
             await task.stop()
 
         run(story())
 
-    def test_an_attempt_that_comes_after_its_settlement_never_starts(self):
+    def test_attempt_received_after_its_settlement_never_starts(self):
         async def story() -> None:
             upstream = FakeUpstream()
             task, answers = task_of(upstream), AnswerLog()
             await settled(task, ATTEMPT.key)
-            task.post(AttemptCame(ATTEMPT, answers))
-            task.post(PermitCame(ATTEMPT.key, granted=True))
-            await turn()
+            task.post(AttemptReceived(ATTEMPT, answers))
+            task.post(PermitReceived(ATTEMPT.key, granted=True))
+            await run_ready()
             assert bodies(answers)[0].reason == 'duplicate_message'
             assert not upstream.ran
             await task.stop()
@@ -165,23 +165,23 @@
 class TestVersionChange:
     """A change of weights while an attempt holds its slot."""
 
-    def test_the_version_asked_for_is_the_version_that_runs(self):
-        """Symptom: an attempt fails as soon as a new version is ordered.
+    def test_attempt_runs_on_the_version_of_its_permit(self):
+        """An attempt must not fail when a new version is ordered.
 
-        Sequence: the agent asks for the permit for v1; the weights task
-        pauses the runs, which waits for this attempt; the permit arrives.
-        Cause: the run read the task's version, which the pause had cleared.
+        The agent requests the permit for v1, the weights task pauses the runs
+        and waits for this attempt, and the permit arrives. The failure occurs
+        if the run reads the task's version, which the pause has cleared.
         """
 
         async def story() -> None:
             upstream = FakeUpstream()
             upstream.gate.set()
             task, answers = task_of(upstream), AnswerLog()
-            task.post(AttemptCame(ATTEMPT, answers))
-            await turn()
+            task.post(AttemptReceived(ATTEMPT, answers))
+            await run_ready()
             idle = asyncio.get_running_loop().create_future()
             task.post(PauseRuns(idle))
-            task.post(PermitCame(ATTEMPT.key, granted=True))
+            task.post(PermitReceived(ATTEMPT.key, granted=True))
             await idle
             assert upstream.ran == [('r1', 'v1')]
             assert bodies(answers)[-1].outcome is Outcome.ANSWERED
@@ -191,27 +191,27 @@
 
 
 class TestRefusedByUpstream:
-    """The upstream's word that it did not begin."""
+    """The upstream refuses an attempt without starting it."""
 
-    def test_the_id_may_run_here_later(self):
-        """Symptom: a service of one replica refuses an id for ten minutes.
+    def test_id_can_be_retried_on_the_same_agent(self):
+        """An id that did not run must be accepted again.
 
-        Sequence: the engine is full and refuses; the caller is told "not
-        run" and sends the same id again as told.
-        Cause: the ledger kept the id as started.
+        The engine is full and refuses, and the caller retries the same id
+        after "not run". If the ledger kept the id as started, a service of one
+        replica would refuse the id for ten minutes.
         """
 
         async def story() -> None:
             upstream = FakeUpstream(outcome=Outcome.NOT_RUN)
             task, answers = task_of(upstream), AnswerLog()
-            task.post(AttemptCame(ATTEMPT, answers))
-            await turn()
-            task.post(PermitCame(ATTEMPT.key, granted=True))
-            await turn()
+            task.post(AttemptReceived(ATTEMPT, answers))
+            await run_ready()
+            task.post(PermitReceived(ATTEMPT.key, granted=True))
+            await run_ready()
             again = evolve(ATTEMPT, key=evolve(ATTEMPT.key, attempt=2))
             second = AnswerLog()
-            task.post(AttemptCame(again, second))
-            await turn()
+            task.post(AttemptReceived(again, second))
+            await run_ready()
             assert [type(body).__name__ for body in bodies(second)] == [
                 'Queued',
                 'PermitAsk',
@@ -222,36 +222,36 @@
 
 
 class TestCancelAndDrain:
-    """Work that is stopped, and work that is not."""
+    """Attempts that a cancel, a drain or a shutdown stops or completes."""
 
-    def test_a_cancelled_run_says_so(self):
+    def test_cancelled_run_ends_as_failed(self):
         async def story() -> None:
             task, answers = task_of(FakeUpstream()), AnswerLog()
-            task.post(AttemptCame(ATTEMPT, answers))
-            await turn()
-            task.post(PermitCame(ATTEMPT.key, granted=True))
-            await turn()
-            task.post(CancelCame(ATTEMPT.key))
-            await turn()
+            task.post(AttemptReceived(ATTEMPT, answers))
+            await run_ready()
+            task.post(PermitReceived(ATTEMPT.key, granted=True))
+            await run_ready()
+            task.post(CancelReceived(ATTEMPT.key))
+            await run_ready()
             assert bodies(answers)[-1].outcome is Outcome.FAILED
             assert task.state.running == 0
             await task.stop()
 
         run(story())
 
-    def test_a_drain_refuses_what_waits_and_finishes_what_runs(self):
+    def test_drain_refuses_queued_and_completes_running_attempts(self):
         async def story() -> None:
             upstream = FakeUpstream()
             task, running, waiting = task_of(upstream), AnswerLog(), AnswerLog()
-            task.post(AttemptCame(ATTEMPT, running))
-            await turn()
-            task.post(PermitCame(ATTEMPT.key, granted=True))
+            task.post(AttemptReceived(ATTEMPT, running))
+            await run_ready()
+            task.post(PermitReceived(ATTEMPT.key, granted=True))
             key = evolve(ATTEMPT.key, request_id='r2')
-            task.post(AttemptCame(evolve(ATTEMPT, key=key), waiting))
-            await turn()
+            task.post(AttemptReceived(evolve(ATTEMPT, key=key), waiting))
+            await run_ready()
             idle = asyncio.get_running_loop().create_future()
             task.post(DrainRuns(idle))
-            await turn()
+            await run_ready()
             assert bodies(waiting)[-1].reason == 'draining'
             assert not idle.done()
             upstream.gate.set()
@@ -261,19 +261,19 @@
 
         run(story())
 
-    def test_a_run_that_the_shutdown_cuts_is_unknown_not_failed(self):
-        """Symptom: "failed" for a run that the engine may have finished.
+    def test_run_stopped_by_shutdown_ends_as_unknown(self):
+        """A run that the engine may have finished must not be "failed".
 
-        Sequence: the drain's time is over; the agent stops its jobs.
-        Cause: every stop of a job was taken for a cancel by the owner.
+        The drain times out and the agent stops its jobs. The failure occurs if
+        every stopped job is treated as cancelled by its owner.
         """
 
         async def story() -> None:
             task, answers = task_of(FakeUpstream()), AnswerLog()
-            task.post(AttemptCame(ATTEMPT, answers))
-            await turn()
-            task.post(PermitCame(ATTEMPT.key, granted=True))
-            await turn()
+            task.post(AttemptReceived(ATTEMPT, answers))
+            await run_ready()
+            task.post(PermitReceived(ATTEMPT.key, granted=True))
+            await run_ready()
             await task.stop()
             assert bodies(answers)[-1].outcome is Outcome.UNKNOWN
 
--- a/tests/weights/test_adapter.py
+++ b/tests/weights/test_adapter.py
@@ -61,7 +61,7 @@
         runs=nothing,
         peers=nothing,
         note=EngineNote(),
-        say=lambda _: None,
+        on_progress=lambda _: None,
     )
 
 
--- a/tests/weights/test_transfer.py
+++ b/tests/weights/test_transfer.py
@@ -29,7 +29,7 @@
     indices,
     pace_for,
 )
-from crowrudder_daemon.agent.weights._words import progress_line
+from crowrudder_daemon.agent.weights._progress_line import progress_line
 from crowrudder_model import InvariantError
 from support.weights_versions import (
     CHUNKS,
--- a/tests/weights/test_withdrawn.py
+++ b/tests/weights/test_withdrawn.py
@@ -39,7 +39,7 @@
 
 
 class RecordedRuns:
-    """Takes the messages of the runs task and reports that nothing runs."""
+    """Fake runs task that records pauses and reports that nothing runs."""
 
     def __init__(self):
         self.paused = asyncio.Event()
@@ -51,14 +51,14 @@
 
 
 async def paused_after(monkeypatch, *snapshots) -> tuple[bool, str]:
-    """Whether an agent with a loaded version stopped its runs."""
+    """Return whether an agent paused its runs, and its loaded version."""
     monkeypatch.setattr(_task, 'WITHDRAW_AFTER_S', 0)
     runtime = Runtime(cfg=parse_settings(text_of(ENGINE)), log=logging.root)
     weights = build_agent(runtime).weights
     assert weights is not None
     runs = RecordedRuns()
     monkeypatch.setattr(weights, '_runs', runs)
-    weights._note.loaded = 'listing-v1'
+    weights._engine_status.loaded = 'listing-v1'
     for snapshot in snapshots:
         weights.on_snapshot_came(SnapshotCame(snapshot))
     job = weights._job
@@ -70,14 +70,16 @@
 
 
 class TestWithdrawnHost:
-    """Symptom: a model that no file declares any more still answers.
+    """A host must stop serving a model that no file declares any more.
 
-    Sequence: a version is loaded; a bundle without the service is accepted;
-    the host goes on answering for it. Cause: the weights task cancelled the
-    transfer of a host without a goal, and left its runs as they were.
+    A version is loaded, and a bundle without the service is accepted. If the
+    weights task only cancels the transfer of a host without a goal and leaves
+    its runs unpaused, the host keeps answering for the service.
     """
 
-    def test_runs_stop_when_the_files_place_nothing(self, monkeypatch):
+    def test_runs_pause_when_no_service_is_placed_on_the_host(
+        self, monkeypatch
+    ):
         found = run(
             paused_after(
                 monkeypatch,
@@ -87,7 +89,9 @@
         )
         assert found == (True, '')
 
-    def test_a_list_without_the_host_changes_nothing(self, monkeypatch):
+    def test_member_list_without_the_host_does_not_pause_runs(
+        self, monkeypatch
+    ):
         found = run(
             paused_after(
                 monkeypatch,
