--- a/tests/processes/test_steps.py
+++ b/tests/processes/test_steps.py
@@ -1,8 +1,9 @@
-"""Faults of separate processes at fixed steps of requests that run.
+"""Faults of separate processes while requests are at fixed steps.
 
-Each test brings requests to three steps at once: mid stream, permitted (handed
-to an engine that hasn't begun), and queued at an agent; half of them may be
-repeated. Then one process meets its fault, and the books are compared.
+Each test holds requests at three steps at once: mid stream, permitted (sent to
+an engine that has not started them), and queued at an agent. Half of them are
+idempotent. Then a fault is injected into one process, and the request logs are
+compared.
 """
 
 from __future__ import annotations
@@ -39,21 +40,21 @@
         async def make() -> Stage:
             fleet = Fleet(PLAN, directory)
             declared = Declared.from_example(directory / 'declared')
-            made = Stage(fleet, declared)
+            created = Stage(fleet, declared)
             try:
-                await made.set_up()
+                await created.set_up()
             except BaseException:
                 fleet.close()
                 raise
-            return made
+            return created
 
-        made = loop.run(make())
-        yield made
-        made.fleet.close()
+        created = loop.run(make())
+        yield created
+        created.fleet.close()
 
 
-def refuses(address):
-    async def holds() -> bool:
+def connection_refused(address):
+    async def is_refused() -> bool:
         try:
             _, writer = await asyncio.open_connection(*address)
         except ConnectionRefusedError:
@@ -61,11 +62,11 @@
         writer.close()
         return False
 
-    return holds
+    return is_refused
 
 
-def not_whole(answers):
-    """Give the answers that aren't whole, by their request's number."""
+def incomplete_answers(answers):
+    """Return the incomplete answers by the number of their request."""
     return {
         int(one.request.request_id.rsplit('-', 1)[1]): one
         for one in answers
@@ -73,73 +74,73 @@
     }
 
 
-def told(answers):
-    """Describe the answers that aren't whole, for a failure's message."""
+def describe_incomplete(answers):
+    """Describe the incomplete answers for an assertion message."""
     return [
         (number, one.request.idempotent, one.outcome, one.detail)
-        for number, one in sorted(not_whole(answers).items())
+        for number, one in sorted(incomplete_answers(answers).items())
     ]
 
 
-def check_lost(answers, *, outcomes) -> None:
-    """Only what was permitted and may not repeat has an uncertain end.
+def check_uncertain_outcomes(answers, *, outcomes) -> None:
+    """Check that only permitted, non-idempotent requests end uncertainly.
 
-    What never ran may be refused, as long as it is told so.
+    A request that never ran may be refused with the outcome `not_run`.
     """
-    lost = not_whole(answers)
-    ran = {n: one for n, one in lost.items() if one.outcome != 'not_run'}
-    assert 0 in ran, told(answers)
-    assert len(ran) <= PLAN.slots, told(answers)
+    incomplete = incomplete_answers(answers)
+    ran = {n: one for n, one in incomplete.items() if one.outcome != 'not_run'}
+    assert 0 in ran, describe_incomplete(answers)
+    assert len(ran) <= PLAN.slots, describe_incomplete(answers)
     for one in ran.values():
-        assert not one.request.idempotent, told(answers)
-        assert one.outcome in outcomes, told(answers)
+        assert not one.request.idempotent, describe_incomplete(answers)
+        assert one.outcome in outcomes, describe_incomplete(answers)
 
 
-def check_refused(answers) -> None:
-    """Hold that what had begun is whole, and the rest whole or refused."""
-    for number, one in not_whole(answers).items():
-        assert number >= STREAMS, told(answers)
-        assert one.outcome == 'not_run', told(answers)
-        assert one.retry_after_s > 0, told(answers)
+def check_incomplete_refused(answers) -> None:
+    """Check that started requests are complete, the rest complete or refused."""
+    for number, one in incomplete_answers(answers).items():
+        assert number >= STREAMS, describe_incomplete(answers)
+        assert one.outcome == 'not_run', describe_incomplete(answers)
+        assert one.retry_after_s > 0, describe_incomplete(answers)
 
 
 class TestKilled:
     def test_agent(self, loop, stage):
-        async def story():
+        async def scenario():
             await stage.hold()
             stage.kill(stage.host_of_stream().process)
-            answers, verdict = await stage.end()
-            assert not verdict.misses
-            check_lost(answers, outcomes={'unknown'})
+            answers, comparison = await stage.end()
+            assert not comparison.misses
+            check_uncertain_outcomes(answers, outcomes={'unknown'})
 
-        loop.run(story())
+        loop.run(scenario())
 
     def test_engine(self, loop, stage):
-        async def story():
+        async def scenario():
             await stage.hold()
             stage.kill(stage.host_of_stream().upstream.process)
-            answers, verdict = await stage.end()
-            assert not verdict.misses
-            check_lost(answers, outcomes={'failed', 'unknown'})
+            answers, comparison = await stage.end()
+            assert not comparison.misses
+            check_uncertain_outcomes(answers, outcomes={'failed', 'unknown'})
 
-        loop.run(story())
+        loop.run(scenario())
 
     def test_entry(self, loop, stage):
-        """The callers' repeats through the other entry run nothing twice."""
+        """Retries through the other entry run no request twice."""
 
-        async def story():
+        async def scenario():
             await stage.hold()
             stage.kill(stage.fleet.entries[0].process)
             await stage.release()
             await asyncio.gather(*stage.sent)
             answers = [each for one in stage.callers for each in one.answers]
-            broken = not_whole(answers).values()
+            broken = incomplete_answers(answers).values()
             assert broken
             repeats = await asyncio.gather(
                 *(stage.callers[1].call(each.request) for each in broken)
             )
-            _, verdict = await stage.end()
-            assert not verdict.misses
+            _, comparison = await stage.end()
+            assert not comparison.misses
             pairs = {
                 (each.outcome, each.request.idempotent) for each in repeats
             }
@@ -149,19 +150,19 @@
                 ('not_run', False),
             }
 
-        loop.run(story())
+        loop.run(scenario())
 
     def test_caller(self, loop, stage):
-        """What nobody waits for any more leaves its queue and its slot."""
+        """Requests of a closed caller leave their queues and slots."""
 
-        async def story():
+        async def scenario():
             await stage.hold()
             for caller in stage.callers:
                 caller.close()
             await stage.release()
             await until(idle, step='idle', timeout_s=10)
-            for sending in stage.sent:
-                sending.cancel()
+            for task in stage.sent:
+                task.cancel()
             stage.sent = []
             books = Books.read(stage.fleet.journals())
             assert not stage.started_twice(books)
@@ -173,15 +174,15 @@
             ]
             return not any(each['running'] + each['queued'] for each in states)
 
-        loop.run(story())
+        loop.run(scenario())
 
 
 class TestFrozen:
-    """A process that stands still and wakes, with all others going on."""
+    """A process is paused and resumed while all others continue."""
 
     @pytest.mark.parametrize('victim', ['agent', 'engine', 'entry'])
-    def test_wakes(self, loop, stage, victim):
-        async def story():
+    def test_resumes(self, loop, stage, victim):
+        async def scenario():
             await stage.hold()
             host = stage.host_of_stream()
             process = {
@@ -199,16 +200,16 @@
                 await stage.fleet.fault(each.upstream, '', on=False)
             await asyncio.sleep(PAUSE_S)
             process.thaw()
-            answers, verdict = await stage.end()
-            assert not verdict.misses
-            check_refused(answers)
+            answers, comparison = await stage.end()
+            assert not comparison.misses
+            check_incomplete_refused(answers)
 
-        loop.run(story())
+        loop.run(scenario())
 
-    def test_agent_wakes_after_the_version_has_gone(self, loop, stage):
-        """The engine was replaced meanwhile and has nothing loaded."""
+    def test_agent_resumes_after_its_version_has_ended(self, loop, stage):
+        """The engine restarts during the pause and has no version loaded."""
 
-        async def story():
+        async def scenario():
             await stage.hold()
             host = stage.host_of_stream()
             host.process.freeze()
@@ -216,46 +217,46 @@
             await stage.fleet.start_process(host.upstream.process)
             await stage.up(host.upstream)
             host.process.thaw()
-            answers, verdict = await stage.end()
-            assert not verdict.misses
-            lost = not_whole(answers)
-            assert 0 in lost
-            outcomes = {one.outcome for one in lost.values()}
+            answers, comparison = await stage.end()
+            assert not comparison.misses
+            incomplete = incomplete_answers(answers)
+            assert 0 in incomplete
+            outcomes = {one.outcome for one in incomplete.values()}
             assert outcomes <= {'failed', 'unknown', 'not_run'}
 
-        loop.run(story())
+        loop.run(scenario())
 
 
 class TestDrained:
-    """SIGTERM with requests at every step: nothing is cut or lost."""
+    """SIGTERM with requests at every step truncates and loses no request."""
 
     def test_agent(self, loop, stage):
-        async def story():
+        async def scenario():
             await stage.hold()
             host = stage.host_of_stream()
             host.process.terminate()
             await stage.release()
             assert await host.process.ended(15) == 0
-            answers, verdict = await stage.end()
-            assert not verdict.misses
-            assert not not_whole(answers), told(answers)
+            answers, comparison = await stage.end()
+            assert not comparison.misses
+            assert not incomplete_answers(answers), describe_incomplete(answers)
 
-        loop.run(story())
+        loop.run(scenario())
 
     def test_late_request_on_an_open_connection(self, loop, stage):
-        """Symptom: a caller can't tell whether its request ran.
+        """Guard against a caller that cannot tell whether its request ran.
 
-        Sequence: a caller keeps a connection open; the entry gets SIGTERM,
-        has nothing running and stops listening; the request comes.
-        Cause: the entry closed all connections as soon as nothing ran.
+        A caller keeps a connection open. The entry gets SIGTERM with nothing
+        running and stops listening, and then a request arrives. An entry that
+        closed all connections as soon as nothing ran would not answer it.
         """
 
-        async def story():
+        async def scenario():
             entry = stage.fleet.entries[0]
             address = ('127.0.0.1', entry.member['http_port'])
             reader, writer = await asyncio.open_connection(*address)
             entry.process.terminate()
-            await until(refuses(address), step='stop', timeout_s=10)
+            await until(connection_refused(address), step='stop', timeout_s=10)
             writer.write(LATE)
             answer = await reader.read()
             writer.close()
@@ -264,17 +265,17 @@
             assert answer.startswith(b'HTTP/1.1 503')
             assert b'X-Outcome: not_run' in answer
 
-        loop.run(story())
+        loop.run(scenario())
 
     def test_entry(self, loop, stage):
-        async def story():
+        async def scenario():
             await stage.hold()
             entry = stage.fleet.entries[0]
             entry.process.terminate()
             await stage.release()
             assert await entry.process.ended(15) == 0
-            answers, verdict = await stage.end()
-            assert not verdict.misses
-            assert not not_whole(answers), told(answers)
+            answers, comparison = await stage.end()
+            assert not comparison.misses
+            assert not incomplete_answers(answers), describe_incomplete(answers)
 
-        loop.run(story())
+        loop.run(scenario())
--- a/tests/support/agent_checks.py
+++ b/tests/support/agent_checks.py
@@ -1,4 +1,4 @@
-"""Checks of agents beside their engines."""
+"""Checks of agents and their engines."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 def assert_whole(world, replica, version):
-    """Check every load that an engine made, and that it holds all in the end.
+    """Check every load of an engine, and that it ends with complete weights.
 
-    Each is of sound chunks of the version that was ordered, all those that its
-    layers are made of.
+    Each load consists of valid chunks of the ordered version, and has every
+    chunk of the ordered layers.
     """
-    for taken, order in zip(replica.taken, replica.orders, strict=True):
+    for loaded, order in zip(replica.taken, replica.orders, strict=True):
         layers = LayerRange(order.get('from', 0), order.get('target', LAYERS))
-        needed = chunks_of(layers, layers=LAYERS, chunks=world.origin.count)
+        required = chunks_of(layers, layers=LAYERS, chunks=world.origin.count)
         expected = {
             index: world.origin.piece(order['version'], index)
-            for index in indices(needed)
+            for index in indices(required)
         }
-        assert {index: taken.get(index) for index in expected} == expected
+        assert {index: loaded.get(index) for index in expected} == expected
     assert replica.whole_weights == version
--- a/tests/support/agent_stubs.py
+++ b/tests/support/agent_stubs.py
@@ -1,4 +1,4 @@
-"""Parts of an agent of which a test looks at little."""
+"""Stubs for parts of an agent."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def stub(**parts: Any) -> Any:
-    """Stand for an object of which only these parts are looked at."""
+    """Return a stub object that has only these attributes."""
     return SimpleNamespace(**parts)
 
 
 class FakeWatch:
-    """Reads the engine at once, and tells nobody."""
+    """Reads the engine immediately and notifies no task."""
 
     def __init__(self, engine):
         self._engine = engine
--- a/tests/support/aio.py
+++ b/tests/support/aio.py
@@ -1,4 +1,4 @@
-"""Running asynchronous tests without a plugin."""
+"""Run asynchronous tests without a pytest plugin."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     *,
     timeout_s: float = DEFAULT_TIMEOUT_S,
 ) -> T:
-    """Run one coroutine in a loop of its own, for at most `timeout_s`.
+    """Run a coroutine in a new event loop, for at most `timeout_s` seconds.
 
     >>> async def answer():
     ...     return 42
--- a/tests/support/bundles.py
+++ b/tests/support/bundles.py
@@ -21,7 +21,7 @@
     rate: float = 1.0,
     customers: int = 1,
 ) -> Declaration:
-    """Declare one service and some customers; the rate tells texts apart."""
+    """Declare one service and customers; different rates make different texts."""
     return Declaration(
         generation,
         parent=parent,
@@ -40,22 +40,22 @@
 
 
 def payload(generation: int, *, parent: str = '', rate: float = 1.0) -> bytes:
-    """Write the value that an operator would publish."""
+    """Encode the value that an operator publishes."""
     return encode_bundle(declared(generation, parent=parent, rate=rate))
 
 
 def bundle(generation: int, *, parent: str = '', rate: float = 1.0) -> Bundle:
-    """Make the bundle that the value holds."""
+    """Return the bundle that the published value holds."""
     return bundle_of(declared(generation, parent=parent, rate=rate))
 
 
 def digest_in(value: bytes) -> str:
-    """Give the digest of a published value."""
+    """Return the digest of a published value."""
     return decode_bundle(value).digest
 
 
 def member(host: str, *, domain: str = 'north-a', port: int = 1) -> Member:
-    """Make a live entry."""
+    """Return a live entry."""
     return Member(
         host,
         'entry',
@@ -67,7 +67,7 @@
 
 
 def fleet(count: int, *, domains: int = 6) -> tuple[Member, ...]:
-    """Make the members of a fleet, spread over failure domains."""
+    """Return the members of a fleet, spread over failure domains."""
     return tuple(
         member(f'host-{number:04}', domain=f'domain-{number % domains}')
         for number in range(count)
--- a/tests/support/claims_world.py
+++ b/tests/support/claims_world.py
@@ -1,4 +1,4 @@
-"""Entries, homes and claims in any order of events."""
+"""State machine of entries, voters and claims in any order of events."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 @define
 class Home:
-    """An agent: its memory of claims and of attempts, for one life."""
+    """The claims and attempts that one incarnation of an agent stores."""
 
     book: ClaimBook = field(factory=ClaimBook)
     ledger: AgentLedger = field(factory=AgentLedger)
@@ -58,7 +58,7 @@
 
 @define(eq=False)
 class Sending:
-    """One try of a caller, carried by one entry."""
+    """One attempt of a caller, processed by one entry."""
 
     entry: str
     serial: int
@@ -79,7 +79,7 @@
 
 @define(frozen=True)
 class Letter:
-    """A message under way to a step of the world."""
+    """A message in transit, with the step that handles it."""
 
     step: str
     sending: Sending
@@ -90,7 +90,7 @@
 
 
 class World(RuleBasedStateMachine):
-    """Entries, homes and a network that loses, doubles and delays."""
+    """Entries, voters and a network that loses, duplicates and delays."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -137,7 +137,7 @@
     @precondition(lambda world: world.letters)
     @rule()
     def deliver_all(self):
-        """Let the network be good for once."""
+        """Deliver every message in transit once, without loss."""
         for letter in list(self.letters):
             if letter in self.letters:
                 self.letters.remove(letter)
@@ -150,7 +150,7 @@
 
     @rule(passed=st.sampled_from((0.1, 3.0, 11.0, 300.0)))
     def wait(self, passed):
-        """Let time pass, at most as long as an id is remembered."""
+        """Advance the time, at most to the end of the retention of claims."""
         longest = _claims.REMEMBER_S
         if self.now + passed < longest:
             self.now += passed
@@ -165,13 +165,13 @@
     @precondition(lambda world: world.faults_left > 0)
     @rule(host=st.sampled_from(HOSTS))
     def kill_agent(self, host):
-        """Lose a home's memory at once."""
+        """Restart a voter without a handover, so that it loses its claims."""
         self.faults_left -= 1
         self._renew(host)
 
     @rule(host=st.sampled_from(HOSTS))
     def restart_agent(self, host):
-        """Restart a home in good order: it hands its claims over."""
+        """Restart a voter gracefully: it hands its claims over."""
         held = self.homes[host].book.held(now=self.now)
         others = [other for other in HOSTS if other != host]
         for other in homes_of(REQUEST_ID, places(others)):
@@ -184,7 +184,7 @@
         pick=st.integers(0, MOST_HOMES - 1),
     )
     def lag(self, entry, pick):
-        """Let one entry's list lack one of the id's homes."""
+        """Remove one of the id's voters from one entry's member list."""
         homes = homes_of(REQUEST_ID, places(self.views[entry]))
         self.views[entry].discard(homes[pick])
         self.faults_left -= 1
@@ -199,7 +199,7 @@
     @precondition(lambda world: world._held())
     @rule(host=st.sampled_from(HOSTS))
     def attempt(self, host):
-        """Queue a claimed request at an agent; at two, if drawn twice."""
+        """Queue a claimed request at an agent; two calls may pick two agents."""
         sending = self._held()[-1]
         key = sending.owner.open_attempt()
         life = self.homes[host].life
@@ -279,7 +279,7 @@
 
     @invariant()
     def holds(self):
-        """Nothing runs twice, and what was told not to run never runs."""
+        """Check that nothing runs twice and that `not_run` requests never run."""
         assert len(self.started) <= 1, self.started
         ran = {key.entry for key in self.started}
         serials = {
@@ -293,5 +293,5 @@
 
 
 def places(hosts: Any) -> list[Place]:
-    """Put hosts into three failure domains."""
+    """Return hosts spread over three failure domains."""
     return [Place(host, f'domain-{int(host[-1]) % 3}') for host in hosts]
--- a/tests/support/counted.py
+++ b/tests/support/counted.py
@@ -1,4 +1,4 @@
-"""A link between two processes that counts what goes over it."""
+"""A relay between two processes that counts the bytes it forwards."""
 
 from __future__ import annotations
 
@@ -12,59 +12,62 @@
     from collections.abc import AsyncIterator
 
 LINK_IP = '127.0.0.30'
-PIECE_BYTES = 65_536
+MAX_READ_BYTES = 65_536
 
 
 @define(eq=False)
 class CountedLink:
-    """Bytes in each direction, seen from the process that called."""
+    """Byte counts in each direction, as seen by the connecting process."""
 
     address: str = ''
     up_bytes: int = 0
     down_bytes: int = 0
 
-    async def up(
+    async def relay_up(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carry what the caller sends."""
-        while piece := await reader.read(PIECE_BYTES):
-            self.up_bytes += len(piece)
-            writer.write(piece)
+        """Forward bytes from the connecting process."""
+        while chunk := await reader.read(MAX_READ_BYTES):
+            self.up_bytes += len(chunk)
+            writer.write(chunk)
         writer.close()
 
-    async def down(
+    async def relay_down(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carry what the caller gets."""
-        while piece := await reader.read(PIECE_BYTES):
-            self.down_bytes += len(piece)
-            writer.write(piece)
+        """Forward bytes to the connecting process."""
+        while chunk := await reader.read(MAX_READ_BYTES):
+            self.down_bytes += len(chunk)
+            writer.write(chunk)
         writer.close()
 
 
 @contextlib.asynccontextmanager
 async def counted(target: str) -> AsyncIterator[CountedLink]:
-    """Stand before a process, so that its bytes are counted.
+    """Run a relay in front of a process and count its bytes.
 
-    It listens on the process's port, at another loopback address.
+    It listens on the port of the process, at another loopback address.
     """
     link = CountedLink()
     jobs: list[asyncio.Future[None]] = []
     ip, _, port = target.rpartition(':')
 
-    async def carry(
+    async def relay(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        onward, back = await asyncio.open_connection(ip, int(port))
+        target_reader, target_writer = await asyncio.open_connection(
+            ip, int(port)
+        )
         with contextlib.suppress(OSError):
             await asyncio.gather(
-                link.up(reader, back), link.down(onward, writer)
+                link.relay_up(reader, target_writer),
+                link.relay_down(target_reader, writer),
             )
 
     def on_connection(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        jobs.append(asyncio.ensure_future(carry(reader, writer)))
+        jobs.append(asyncio.ensure_future(relay(reader, writer)))
 
     server = await asyncio.start_server(on_connection, LINK_IP, int(port))
     link.address = f'{LINK_IP}:{port}'
--- a/tests/support/crashing.py
+++ b/tests/support/crashing.py
@@ -1,4 +1,4 @@
-"""Replicas that end under a request, and come back with another life."""
+"""Replicas that crash on a request and restart as a new incarnation."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from crowrudder_model.messages import EngineLoad
 
 AGENT_SEES_S = 0.05
-"""Until the agent beside a replica tells that it is gone."""
+"""Delay until the agent reports that its replica is unreachable."""
 
 
 @define(eq=False)
 class Crashes:
-    """Ends replicas that begin a fatal request, and starts them again.
+    """Stops replicas that start a fatal request, and restarts them.
 
-    ``ended`` are the names of the lives that ended, in order.
+    ``ended`` holds the names of the ended incarnations, in order.
     """
 
     world: Any
@@ -27,7 +27,7 @@
     _jobs: set = field(factory=set)
 
     def arm(self):
-        """Let each replica of the service end under a fatal request."""
+        """Make each replica of the service crash on a fatal request."""
         kind = 'e' if self.service == 'llm' else 'p'
         for name in list(self.world.replicas):
             if name.startswith(kind):
@@ -39,34 +39,34 @@
 
     def _on_fatal(self, name):
         self.ended.append(name)
-        job = asyncio.ensure_future(self._end(name))
+        job = asyncio.ensure_future(self._crash(name))
         self._jobs.add(job)
         job.add_done_callback(self._jobs.discard)
 
-    async def _end(self, name):
+    async def _crash(self, name):
         address = self.world.addresses[name]
         replica = self.world.replicas[name]
         server = self.world.server_at(address)
         server.stop()
         await server.close_all_connections()
         await asyncio.sleep(AGENT_SEES_S)
-        self._tell(EngineLoad(address=address, reachable=False))
+        self._send_load_report(EngineLoad(address=address, reachable=False))
         await asyncio.sleep(self.away_s)
         self.world.store.remove(f'servers/{name}')
-        await self._begin(name, address, replica)
+        await self._restart(name, address, replica)
 
-    async def _begin(self, before, address, replica):
-        """Begin the next life, as the platform does: with another id."""
-        stem, _, number = before.partition('.')
+    async def _restart(self, ended_name, address, replica):
+        """Start the next incarnation with a new id, as the platform does."""
+        stem, _, number = ended_name.partition('.')
         name = f'{stem}.{int(number or 1) + 1}'
         self.world.begin_life(name, address, replica, self.service)
         self._arm(name)
         load = EngineLoad(
             address=address, reachable=True, weights=replica.whole_weights
         )
-        self._tell(load)
+        self._send_load_report(load)
 
-    def _tell(self, load):
+    def _send_load_report(self, load):
         if self.service != 'llm':
             return
         for entry in self.world.entries:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in one loop: stand-ins of store and replicas, real entries."""
+"""A fleet in one event loop: real entries, stand-ins for store and replicas."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def route(name, prefix, kind, service, **more):
-    """Give a route as it is published."""
+    """Return a route in its published form."""
     return {
         'name': name,
         'host': HOST,
@@ -78,7 +78,7 @@
 
 
 def config(version=1, routes=ROUTES, tenants=None, **more):
-    """Give a configuration as it is published."""
+    """Return a configuration in its published form."""
     return {
         'version': version,
         'routes': deepcopy(list(routes)),
@@ -99,14 +99,14 @@
 
 
 def runtime_of(node):
-    """Give the surroundings of a process in a test."""
+    """Return the runtime of a process in a test."""
     log = logging.getLogger('crowrudder.test')
     return Runtime(cfg=settings_of(node, Tuning()), log=log)
 
 
 @define
 class Answer:
-    """What a caller got; ``cut`` when the answer wasn't whole."""
+    """The answer to a caller; ``cut`` if it was truncated."""
 
     head: WireHead | None
     body: bytes
@@ -125,7 +125,7 @@
 
 
 async def call(address, request):
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection."""
     conn = await ConnectionPool().take(address, timeout_s=2)
     conn.send(request)
     parts: list[bytes] = []
@@ -155,7 +155,7 @@
     store_address: str = ''
     origin_address: str = ''
     _servers: dict[str, Any] = field(factory=dict)
-    _asked: int = 0
+    _request_count: int = 0
 
     def serve(self, standin, ip='127.0.0.1'):
         """Run a stand-in on a free port."""
@@ -166,11 +166,11 @@
         return address
 
     def server_at(self, address):
-        """Give the server of a stand-in."""
+        """Return the server of a stand-in."""
         return self._servers[address]
 
     def begin_life(self, name, address, before, service):
-        """Start a replica anew where another one has ended."""
+        """Start a new incarnation at the address of an ended replica."""
         ip, _, port = address.rpartition(':')
         replica = FleetReplica(
             {
@@ -219,7 +219,7 @@
         self.store.put(f'servers/{name}', json.dumps(entry).encode())
 
     async def add_entry(self, number=1, **bounds):
-        """Start an entry on a loopback address of its own."""
+        """Start an entry on its own loopback address."""
         ip = f'127.0.0.{10 + number}'
         node = Node(
             host=f'entry-{number}',
@@ -259,7 +259,7 @@
         version_s=2,
         link_bytes_per_s=2e6,
     ):
-        """Start an engine on a loopback address, and the agent beside it."""
+        """Start an engine on a loopback address, and its agent."""
         ip = f'127.0.0.{100 + number}'
         name = f'a{number}'
         replica = self.add_replica(name, 'llm', model='m', loaded=loaded, ip=ip)
@@ -303,12 +303,12 @@
         self.store.put('op/version/m', json.dumps(named).encode())
 
     async def until(self, condition):
-        """Wait for something that has to come."""
+        """Poll until a condition holds."""
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.005)
 
     async def ready(self):
-        """Wait until every entry knows what is published."""
+        """Wait until every entry has read the last revision of the store."""
         await self.until(
             lambda: all(
                 entry.catalog.catalog.revision >= self.store.revision
@@ -320,8 +320,8 @@
         self, path, *, entry=0, method='GET', body=b'body', **headers
     ):
         """Send one request as a caller does."""
-        self._asked += 1
-        request_id = headers.pop('request_id', f'request-{self._asked}')
+        self._request_count += 1
+        request_id = headers.pop('request_id', f'request-{self._request_count}')
         fields = {
             'Host': HOST,
             'X-Attempt-Id': request_id,
@@ -340,7 +340,7 @@
         return await call(self.nodes[entry].callers, request)
 
     async def ask_engine(self, name, *, request_id, weights):
-        """Send one stream to a replica, as an entry does, and wait for it."""
+        """Send a stream to a replica, as an entry does; return its answer."""
         fields = {
             'Host': HOST,
             'X-Attempt-Id': request_id,
@@ -372,7 +372,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet(*, entries=1, plain=2, engines=2, bounds=None, **published):
-    """Run a fleet for the time of a test."""
+    """Run a fleet during a test."""
     world = FleetWorld()
     world.store_address = world.serve(world.store)
     world.origin_address = world.serve(world.origin)
--- a/tests/support/fleet_checks.py
+++ b/tests/support/fleet_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a fleet whose upstreams misbehave."""
+"""Checks of a fleet with faulty upstreams."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def checked(check, **more):
-    """Run a check within a fleet."""
+    """Start a fleet and run a check with it."""
 
     async def within():
         async with fleet(**more) as world:
@@ -37,7 +37,7 @@
 
 
 def name_second(world, name, *, end_s):
-    """Name a second version that one replica has; the first ends soon."""
+    """Announce a second version that one replica has; the first ends soon."""
     world.replicas[name].weights = 2
     world.list_replica(name, 'llm')
     world.name_version(2)
@@ -46,7 +46,7 @@
 
 
 def hold_back(world, name, *, is_changing=True):
-    """Have the agent beside a replica ask for no requests, or for some."""
+    """Report that a replica changes its weights, or no longer does."""
     replica = world.replicas[name]
     load = EngineLoad(
         address=world.addresses[name],
--- a/tests/support/knowledge.py
+++ b/tests/support/knowledge.py
@@ -1,4 +1,4 @@
-"""Knowledge tasks of a whole fleet over fakes of network and platform."""
+"""Knowledge tasks of a fleet with a fake network and a fake platform."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
     from crowrudder_model import Member
 
 WATCH_S = 0.02
-PACE = Pace(exchange_s=0.02, push_gap_s=0.001, tick_s=0.01)
+INTERVALS = Pace(exchange_s=0.02, push_gap_s=0.001, tick_s=0.01)
 GARBAGE = bytes(range(128, 256))
 _Message = TypeVar('_Message', Hello, Knowledge, TakeAsk)
 
 
 class FakePlatform:
-    """Published values, the member list, and what is wrong with them."""
+    """Published values, the member list and an injected fault."""
 
     def __init__(self, members: tuple[Member, ...]) -> None:
         self.values: list[bytes] = []
@@ -49,7 +49,7 @@
         self.fault = ''
         self.reads: Counter[str] = Counter()
         self.asked = asyncio.Event()
-        self.turns = 0
+        self.read_count = 0
         self._changed = asyncio.Event()
 
     def publish(self, value: bytes) -> None:
@@ -64,15 +64,15 @@
         self.wake()
 
     def wake(self) -> None:
-        """Answer those who wait."""
+        """Wake the watches."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def word(self, source: Source) -> PlatformWord:
-        """Answer a call."""
-        self.turns += 1
+        """Return the result of a read."""
+        self.read_count += 1
         if self.fault == 'down' or (
-            self.fault == 'flapping' and self.turns % 2
+            self.fault == 'flapping' and self.read_count % 2
         ):
             return ReadFailed(source, self.fault)
         if source is Source.MEMBERS:
@@ -90,15 +90,15 @@
         return BundleRead(value, revision)
 
     async def changed(self) -> None:
-        """Wait for a change, or the end of a watch."""
-        # Python 3.11's `wait_for` may swallow a cancellation.
+        """Wait for a change or the timeout of a watch."""
+        # Python 3.11's `wait_for` may suppress a cancellation.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(WATCH_S):
                 await self._changed.wait()
 
 
 class FakePlatformClient(PlatformClient):
-    """One process's calls to the fake platform."""
+    """The platform client of one process, backed by the fake platform."""
 
     def __init__(
         self,
@@ -107,29 +107,29 @@
     ) -> None:
         super().__init__(runtime)
         self._host = runtime.cfg.process.host
-        self._where = platform
+        self._current_platform = platform
         self._last: dict[Source, PlatformWord] = {}
 
     async def read(self, source: Source, *, watch: bool) -> PlatformWord:
-        """Read or watch."""
-        platform = self._where()
+        """Read a source, or watch it for a change."""
+        platform = self._current_platform()
         platform.reads[self._host] += 1
         platform.asked.set()
         if platform.fault == 'slow':
             await asyncio.sleep(WATCH_S)
-        word = platform.word(source)
-        if watch and word == self._last.get(source):
+        result = platform.word(source)
+        if watch and result == self._last.get(source):
             await platform.changed()
-            word = platform.word(source)
-        if word == self._last.get(source):
+            result = platform.word(source)
+        if result == self._last.get(source):
             return NothingNew(source)
-        if not isinstance(word, ReadFailed):
-            self._last[source] = word
-        return word
+        if not isinstance(result, ReadFailed):
+            self._last[source] = result
+        return result
 
 
 class FakeCalls(PeerCalls):
-    """Calls that hand messages over, unless the link is cut."""
+    """Peer calls that deliver messages directly, unless partitioned."""
 
     def __init__(self, host: str, fleet: FakeFleet) -> None:
         super().__init__()
@@ -137,19 +137,19 @@
         self._fleet = fleet
 
     async def hello(self, member: Member, hello: Hello) -> Hello:
-        """Exchange greetings."""
+        """Exchange hello messages."""
         task = await self._peer(member)
-        return _sent(await task._on_exchange(_sent(hello), None))
+        return _round_trip(await task._on_exchange(_round_trip(hello), None))
 
     async def give(self, member: Member, knowledge: Knowledge) -> Hello:
-        """Give a peer what it lacks."""
+        """Send a peer the knowledge that it lacks."""
         task = await self._peer(member)
-        return _sent(await task._on_give(_sent(knowledge), None))
+        return _round_trip(await task._on_give(_round_trip(knowledge), None))
 
-    async def take(self, member: Member, ask: TakeAsk) -> Knowledge:
-        """Ask a peer for what is newer."""
+    async def take(self, member: Member, request: TakeAsk) -> Knowledge:
+        """Request newer knowledge from a peer."""
         task = await self._peer(member)
-        return _sent(await task._on_take(_sent(ask), None))
+        return _round_trip(await task._on_take(_round_trip(request), None))
 
     async def _peer(self, member: Member) -> KnowledgeTask:
         await asyncio.sleep(0)
@@ -165,7 +165,7 @@
     Parameters
     ----------
     members
-        Where each side of a partition begins: hosts are cut by their name.
+        The hosts to start; `far_side` names those beyond a partition.
     """
 
     def __init__(self, members: tuple[Member, ...]) -> None:
@@ -176,39 +176,39 @@
         self.tasks: dict[str, KnowledgeTask] = {}
         self.runtimes: dict[str, Runtime] = {}
         self.history: dict[str, list[Snapshot]] = {}
-        self._came = asyncio.Event()
+        self._snapshot_received = asyncio.Event()
 
     async def __aenter__(self) -> FakeFleet:
-        """Start everyone."""
+        """Start the tasks of all members."""
         for member in self.members:
             self.start(member)
         return self
 
     async def __aexit__(self, *_exc: object) -> None:
-        """Stop everyone."""
+        """Stop all tasks."""
         for host in list(self.tasks):
             await self.stop(host)
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether two hosts are on different sides."""
+        """Return whether a partition separates two hosts."""
         return (one in self.far_side) != (other in self.far_side)
 
     def start(self, member: Member) -> KnowledgeTask:
-        """Start a new life of a host."""
+        """Start a new incarnation of a host."""
         host = member.host
         runtime = runtime_of(member)
         seen: list[Snapshot] = []
 
         def on_change(snapshot: Snapshot) -> None:
             seen.append(snapshot)
-            self._came.set()
+            self._snapshot_received.set()
 
         task = KnowledgeTask(
             runtime,
             on_change,
             calls=FakeCalls(host, self),
             platform=FakePlatformClient(runtime, lambda: self._platform(host)),
-            pace=PACE,
+            pace=INTERVALS,
         )
         self.tasks[host] = task
         self.runtimes[host] = runtime
@@ -217,16 +217,16 @@
         return task
 
     async def stop(self, host: str) -> None:
-        """Let a host die."""
+        """Stop a host."""
         task = self.tasks.pop(host)
         await task.stop()
         self.runtimes[host].metrics.close()
 
-    async def until(self, holds: Callable[[KnowledgeTask], bool]) -> None:
-        """Wait until something holds for every task."""
-        while not all(holds(task) for task in self.tasks.values()):
-            self._came.clear()
-            await self._came.wait()
+    async def until(self, condition: Callable[[KnowledgeTask], bool]) -> None:
+        """Wait until a condition holds for every task."""
+        while not all(condition(task) for task in self.tasks.values()):
+            self._snapshot_received.clear()
+            await self._snapshot_received.wait()
 
     async def in_force(self, generation: int) -> None:
         """Wait until a generation is in force everywhere."""
@@ -243,7 +243,7 @@
             behind = {host for host in behind if reads[host] < before[host] + 4}
 
     def reverts(self) -> list[str]:
-        """Name the hosts whose snapshots ever went back."""
+        """Return the hosts with a snapshot older than the one before it."""
         return [
             host
             for host, seen in self.history.items()
@@ -251,10 +251,10 @@
             != sorted(each.order for each in seen)
         ]
 
-    def audited(self, host: str, word: str) -> list[Any]:
-        """Give the audit events of a host whose subject has a word."""
+    def audited(self, host: str, text: str) -> list[Any]:
+        """Return the audit events of a host whose subject contains a text."""
         trail = self.runtimes[host].audit.trail
-        return [event for event in trail.after(0) if word in event.subject]
+        return [event for event in trail.after(0) if text in event.subject]
 
     def _platform(self, host: str) -> FakePlatform:
         if self.other_platform is not None and host in self.far_side:
@@ -262,13 +262,13 @@
         return self.platform
 
 
-def _sent(message: _Message) -> _Message:
-    """Put a message through the codec, as the network does."""
+def _round_trip(message: _Message) -> _Message:
+    """Encode and decode a message, as the network does."""
     return decode_message(encode_message(message), type(message))
 
 
 def runtime_of(member: Member) -> Runtime:
-    """Make the surroundings of an entry's knowledge."""
+    """Return the runtime of an entry's knowledge task."""
     process = ProcessSection(
         role='entry',
         host=member.host,
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,12 +1,12 @@
-"""Pass over the failures that KNOWN-RED.txt names, and nothing else.
+"""Tolerate the failures that KNOWN-RED.txt lists, and no others.
 
-A line is ``test id | cause | issue``. The list is refused with more than three
-tests or a malformed line; a named test that does not exist, is skipped or
-passes fails the run, so that the list shrinks as soon as it can. Only a failure
-in the test itself is passed over: broken set-up or clean-up stays red.
+A line is ``test id | cause | issue``. A list with more than three tests or a
+malformed line is an error. The run fails if a listed test does not exist, is
+skipped or passes, so that fixed tests leave the list. Only a failure in the
+test itself is tolerated: errors in set-up or tear-down still fail the run.
 
-A line whose test is ``deploy/days/NAME.toml COMMAND`` is a played day that no
-test of this suite can run. It is only printed, and its file must exist.
+A line whose test is ``deploy/days/NAME.toml COMMAND`` names a simulated day,
+which this suite cannot run. It is only printed, and its file must exist.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class KnownRed:
-    """One failure that may land: which test, why, and the issue for it."""
+    """One tolerated failure: the test, its cause and its issue."""
 
     test: str
     cause: str
@@ -36,7 +36,7 @@
 
     @property
     def day(self) -> str:
-        """The file of the played day; empty for a test."""
+        """The file of the simulated day; empty for a test."""
         return self.test.split()[0] if self.test.startswith(DAYS) else ''
 
     def __str__(self) -> str:
@@ -44,7 +44,7 @@
 
 
 def read_known_red(path: Path) -> dict[str, KnownRed]:
-    """Read the list; an absent file is an empty list.
+    """Read the list; a missing file is an empty list.
 
     Raises
     ------
@@ -78,7 +78,7 @@
 
 
 class KnownRedPlugin:
-    """The hooks; an object, so that nested runs in tests stay apart."""
+    """Pytest hooks with state per run, so that nested runs stay separate."""
 
     def __init__(self, entries: dict[str, KnownRed]) -> None:
         self._entries = {
@@ -93,7 +93,7 @@
         items: list[pytest.Item],
     ) -> None:
         if config.args_source is not pytest.Config.ArgsSource.TESTPATHS:
-            # Somebody runs a part by hand: absence proves nothing.
+            # Only selected tests run, so a listed test may be absent.
             return
         missing = self._entries.keys() - {item.nodeid for item in items}
         if missing:
@@ -109,7 +109,7 @@
         report = yield
         entry = self._entries.get(item.nodeid)
         if entry is not None:
-            self._judge(report, entry)
+            self._apply_entry(report, entry)
         return report
 
     def pytest_terminal_summary(
@@ -119,7 +119,7 @@
         for entry in self._passed_over:
             terminalreporter.write_line(f'KNOWN RED: {entry}')
 
-    def _judge(self, report: pytest.TestReport, entry: KnownRed) -> None:
+    def _apply_entry(self, report: pytest.TestReport, entry: KnownRed) -> None:
         if report.skipped:
             report.outcome = 'failed'
             report.longrepr = f'{FILE_NAME}: {entry.test} is skipped: run it'
--- a/tests/support/limits_world.py
+++ b/tests/support/limits_world.py
@@ -1,7 +1,8 @@
-"""Entries before upstreams that name limits, in virtual time.
+"""Simulation of entries and an upstream that states a rate limit.
 
-Nothing of it has a network: an entry hears a limit from the answers to its own
-requests, and from words of others that are late or lost.
+Time is virtual and there is no network: an entry learns a limit from the
+answers to its own requests and from reports of other entries, which are
+delayed or lost.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 
 from crowrudder_core.limits import NamedLimits, senders_of
 
-ANSWER_S = (0.05, 0.3)
-WORD_S = (0.004, 0.05)
-LOST = 0.05
-PARTNERS = 7
-DRAWN = 4
+ANSWER_DELAY_S = (0.05, 0.3)
+MESSAGE_DELAY_S = (0.004, 0.05)
+MESSAGE_LOSS_RATE = 0.05
+UPDATE_PARTNERS = 7
+SAMPLE_SIZE = 4
 NAMED_AT_S = 2.0
 
 
 @frozen
 class Load:
-    """A fleet's size, its load, and the limit of its first upstream.
+    """The size of a fleet, its load, and the limit of its first upstream.
 
-    ``per_s`` is what all entries get together in a second, in bursts.
+    ``per_s`` is the request rate over all entries; requests arrive in bursts.
     """
 
     entries: int
@@ -41,10 +42,10 @@
 
 @define(eq=False)
 class LimitsWorld:
-    """Plays a load.
+    """Simulates a load.
 
-    ``arrivals`` are those at the limited upstream, with the time since which
-    their entry knew the limit.
+    ``arrivals`` holds, for each request to the limited upstream, its time and
+    the time at which its entry learned the limit.
     """
 
     load: Load
@@ -52,7 +53,7 @@
     now: float = 0
     arrivals: list = field(factory=list)
     refused: int = 0
-    told_at: dict = field(factory=dict)
+    informed_at: dict = field(factory=dict)
     words: int = 0
     rng: Any = field(init=False)
     limits: list = field(init=False)
@@ -63,29 +64,29 @@
     def __attrs_post_init__(self):
         self.rng = random.Random(self.seed)
         self.alive = set(range(self.load.entries))
-        self.limits = [self._limits(n) for n in range(self.load.entries)]
+        self.limits = [self._build_limits(n) for n in range(self.load.entries)]
 
     def play(self):
-        """Run to the end."""
+        """Run the simulation to its end."""
         at = 0.0
         while at < self.load.lasts_s:
             burst = self.rng.choice((1, 1, 1, 8))
             at += burst * self.rng.expovariate(self.load.per_s)
             for _ in range(burst):
-                self._at(at, self._arrive)
+                self._schedule(at, self._arrive)
         if self.load.restart_every_s:
-            self._at(self.load.restart_every_s, self._restart)
+            self._schedule(self.load.restart_every_s, self._restart)
         while self._events:
             self.now, _, call, args = heapq.heappop(self._events)
             call(*args)
         return self
 
-    def most_in(self, window_s, since, told_s=0.5):
-        """Give the most arrivals in a window from entries that were told."""
+    def most_in(self, window_s, since, grace_s=0.5):
+        """Return the most arrivals in a window from entries that know the limit."""
         times = [
             at
-            for at, told_at in self.arrivals
-            if at >= since and at >= told_at + told_s
+            for at, informed_at in self.arrivals
+            if at >= since and at >= informed_at + grace_s
         ]
         ends = (at + window_s for at in times)
         return max(
@@ -97,43 +98,43 @@
         )
 
     def used(self, since):
-        """Give the part of the limit that is used from a time on."""
+        """Return the fraction of the limit that is used from a time on."""
         count = sum(since <= at < self.load.lasts_s for at, _ in self.arrivals)
         return count / (self.load.limit * (self.load.lasts_s - since))
 
-    def _limits(self, entry):
-        def part_of(upstream_id, per_s):
+    def _build_limits(self, entry):
+        def share_of(upstream_id, per_s):
             ips = [str(each) for each in self.alive]
             chosen = senders_of(upstream_id, per_s, ips, [])
             return 1 / len(chosen) if str(entry) in chosen else 0
 
-        return NamedLimits(part_of)
+        return NamedLimits(share_of)
 
-    def _at(self, at, call, *args):
+    def _schedule(self, at, call, *args):
         heapq.heappush(self._events, (at, next(self._count), call, args))
 
     def _restart(self):
-        """End one entry and start another one in its place a second later."""
+        """Stop a random entry and start its replacement a second later."""
         entry = self.rng.choice(sorted(self.alive))
         self.alive.discard(entry)
-        self._at(self.now + 1, self._start, entry)
+        self._schedule(self.now + 1, self._start, entry)
         if self.now + self.load.restart_every_s < self.load.lasts_s:
-            again_at = self.now + self.load.restart_every_s
-            self._at(again_at, self._restart)
+            restart_at = self.now + self.load.restart_every_s
+            self._schedule(restart_at, self._restart)
 
     def _start(self, entry):
-        self.limits[entry] = self._limits(entry)
-        self.told_at.pop(entry, None)
+        self.limits[entry] = self._build_limits(entry)
+        self.informed_at.pop(entry, None)
         self.alive.add(entry)
 
     def _arrive(self):
         entry = self.rng.choice(sorted(self.alive))
         limits = self.limits[entry]
         numbers = range(self.load.upstreams)
-        drawn = self.rng.sample(numbers, min(DRAWN, len(numbers)))
+        sampled = self.rng.sample(numbers, min(SAMPLE_SIZE, len(numbers)))
         options = [
             f'u{number}'
-            for number in drawn
+            for number in sampled
             if limits.has_room(f'u{number}', now=self.now)
         ]
         if not options:
@@ -142,31 +143,31 @@
         upstream_id = self.rng.choice(options)
         assert limits.take(upstream_id, now=self.now)
         if upstream_id == 'u0':
-            told_at = self.told_at.get(entry, float('inf'))
-            self.arrivals.append((self.now, told_at))
-        answer_at = self.now + self.rng.uniform(*ANSWER_S)
-        self._at(answer_at, self._answer, entry, upstream_id)
+            informed_at = self.informed_at.get(entry, float('inf'))
+            self.arrivals.append((self.now, informed_at))
+        answer_at = self.now + self.rng.uniform(*ANSWER_DELAY_S)
+        self._schedule(answer_at, self._answer, entry, upstream_id)
 
     def _answer(self, entry, upstream_id):
-        is_named = NAMED_AT_S <= self.now < self.load.ends_at
-        per_s = self.load.limit if is_named and upstream_id == 'u0' else None
+        is_stated = NAMED_AT_S <= self.now < self.load.ends_at
+        per_s = self.load.limit if is_stated and upstream_id == 'u0' else None
         if per_s is not None:
-            told_at = min(self.told_at.get(entry, self.now), self.now)
-            self.told_at[entry] = told_at
+            informed_at = min(self.informed_at.get(entry, self.now), self.now)
+            self.informed_at[entry] = informed_at
         limits = self.limits[entry]
-        word = limits.on_answer(upstream_id, per_s, now=self.now)
-        if word is not None:
-            self._tell(entry, word)
+        report = limits.on_answer(upstream_id, per_s, now=self.now)
+        if report is not None:
+            self._send_report(entry, report)
 
-    def _tell(self, entry, word):
+    def _send_report(self, entry, report):
         others = sorted(self.alive - {entry})
-        for other in self.rng.sample(others, min(PARTNERS, len(others))):
+        for other in self.rng.sample(others, min(UPDATE_PARTNERS, len(others))):
             self.words += 1
-            if self.rng.random() >= LOST:
-                at = self.now + self.rng.uniform(*WORD_S)
-                self._at(at, self._hear, other, word)
-
-    def _hear(self, entry, word):
-        passed = self.limits[entry].on_word(word, now=self.now)
-        if passed is not None:
-            self._tell(entry, passed)
+            if self.rng.random() >= MESSAGE_LOSS_RATE:
+                at = self.now + self.rng.uniform(*MESSAGE_DELAY_S)
+                self._schedule(at, self._receive, other, report)
+
+    def _receive(self, entry, report):
+        forwarded = self.limits[entry].on_word(report, now=self.now)
+        if forwarded is not None:
+            self._send_report(entry, forwarded)
--- a/tests/support/mutations.py
+++ b/tests/support/mutations.py
@@ -1,4 +1,4 @@
-"""Bad input for Hypothesis: noise, damaged good input, and odd JSON."""
+"""Hypothesis strategies for bad input: noise, mutated input, unusual JSON."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from hypothesis.strategies import SearchStrategy
 
-MOST_EDITS = 4
-# Beyond the depth to which Python recurses.
+MAX_EDITS = 4
+# Deeper than Python's recursion limit.
 DEEP = 5000
-# Python refuses to read a decimal number of more than 4300 digits.
+# Python refuses to parse a decimal number of more than 4300 digits.
 LONG_NUMBER = b'9' * 5000
 
 odd_numbers = st.one_of(
@@ -31,25 +31,25 @@
 
 
 def damaged(valid: bytes) -> SearchStrategy[bytes]:
-    """Give good input with a few bytes replaced, inserted, cut or doubled."""
+    """Return valid input with bytes replaced, inserted, truncated or repeated."""
     edit = st.tuples(
         st.sampled_from(('replace', 'insert', 'cut', 'double')),
         st.integers(0, len(valid)),
         st.binary(min_size=1, max_size=3),
     )
-    edits = st.lists(edit, min_size=1, max_size=MOST_EDITS)
-    return edits.map(lambda drawn: _edited(valid, drawn))
+    edits = st.lists(edit, min_size=1, max_size=MAX_EDITS)
+    return edits.map(lambda chosen: _edited(valid, chosen))
 
 
 def bad_bytes(valid: bytes) -> SearchStrategy[bytes]:
-    """Give noise or damaged good input."""
+    """Return random bytes or mutated valid input."""
     return st.one_of(damaged(valid), st.binary(max_size=60))
 
 
 def _edited(valid: bytes, edits: list[tuple[str, int, bytes]]) -> bytes:
     edited = valid
-    for kind, place, noise in edits:
-        before, after = edited[:place], edited[place:]
+    for kind, position, noise in edits:
+        before, after = edited[:position], edited[position:]
         match kind:
             case 'replace':
                 edited = before + noise + after[len(noise) :]
--- a/tests/support/path.py
+++ b/tests/support/path.py
@@ -1,7 +1,7 @@
-"""Entries and agents in one process, joined by real remote calls.
+"""Entries and agents in one process that communicate by real RPC calls.
 
-The upstreams are fakes; the platform is left out, as each part is handed its
-picture of the fleet directly.
+The upstreams are fakes. There is no platform: each component gets its snapshot
+of the fleet directly.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 from support.settings import entry_settings
 
 SERVICE = 'listing'
-MOST_LOOKS = 1000
+MAX_POLLS = 1000
 CUSTOMERS = (
     Customer('small', share=0.1, rate_per_s=1e5, services=(SERVICE,)),
     Customer('large', share=0.5, rate_per_s=1e5, services=(SERVICE,)),
@@ -61,8 +61,8 @@
 
 
 @define(eq=False)
-class Upstream:
-    """An upstream with a book of what ran, and a gate before the end."""
+class FakeUpstream:
+    """A fake upstream that records requests and can pause an answer."""
 
     ran: list[str] = field(factory=list)
     cancelled: list[str] = field(factory=list)
@@ -113,10 +113,10 @@
 
 @define(eq=False)
 class AgentEnd:
-    """One agent and what it stands beside."""
+    """One agent with its upstream and services."""
 
     member: Member
-    upstream: Upstream
+    upstream: FakeUpstream
     runs: RunsTask
     server: PeerServer
     peers: PeerClient
@@ -124,7 +124,7 @@
     claims: ClaimService
 
     async def kill(self) -> None:
-        """End it as a killed process would: streams break, ports close."""
+        """Stop like a killed process: streams break and ports close."""
         await self.server.stop(0)
         await self.runs.stop()
         await self.peers.close()
@@ -132,26 +132,26 @@
 
 @define(eq=False)
 class EntryEnd:
-    """One entry's task of requests."""
+    """The requests task of one entry."""
 
     runtime: Runtime
     requests: RequestsTask
     peers: PeerClient
 
     def ask(self, request_id: str, **more: Any) -> asyncio.Queue[Any]:
-        """Send a request as the HTTP side would."""
+        """Send a request as the HTTP server does."""
         parts: asyncio.Queue[Any] = asyncio.Queue()
         self.requests.post(RequestCame(request(request_id, **more), parts))
         return parts
 
     async def kill(self) -> None:
-        """End it as a killed process would."""
+        """Stop like a killed process."""
         await self.requests.stop()
         await self.peers.close()
 
 
 class Path:
-    """A small fleet; to be used with `async with`."""
+    """A small fleet, used with `async with`."""
 
     def __init__(self, *, agents: int, entries: int = 1) -> None:
         self._sizes = (agents, entries)
@@ -175,7 +175,7 @@
             await agent.kill()
 
     def tell(self, *more: Member) -> None:
-        """Hand everybody the members and the agents' reports."""
+        """Send the members and the agents' reports to all entries and agents."""
         members = tuple(agent.member for agent in self.agents) + more
         snapshot = Snapshot(BUNDLE, members)
         for agent in self.agents:
@@ -196,7 +196,7 @@
     idempotent: bool = False,
     made_here: bool = False,
 ) -> CallerRequest:
-    """Make a caller's request for a completion."""
+    """Return a caller's request for a completion."""
     return CallerRequest(
         head=CallHead(
             request_id=request_id,
@@ -216,7 +216,7 @@
     cfg = entry_settings(host=f'agent-{number}')
     cfg = evolve(cfg, limits=evolve(cfg.limits, slots=slots))
     runtime = Runtime(cfg=cfg, log=logging.getLogger('agent'))
-    upstream, peers = Upstream(), PeerClient()
+    upstream, peers = FakeUpstream(), PeerClient()
     runs = RunsTask(runtime, upstream)  # type: ignore[arg-type]
     knowledge: Any = types.SimpleNamespace(
         snapshot=Snapshot(),
@@ -243,7 +243,7 @@
 
 
 def start_entry(number: int) -> EntryEnd:
-    """Start an entry's task of requests."""
+    """Start the requests task of an entry."""
     cfg = entry_settings(host=f'entry-{number}')
     runtime = Runtime(cfg=cfg, log=logging.getLogger('entry'))
     peers = PeerClient()
@@ -253,17 +253,17 @@
 
 
 async def final(parts: asyncio.Queue[Any]) -> Ended:
-    """Read on to the final word."""
+    """Read parts until the final outcome."""
     while True:
         part = await parts.get()
         if isinstance(part, Ended):
             return part
 
 
-async def until(holds: Callable[[], object]) -> None:
-    """Wait for a state that another process or task brings about."""
-    for _ in range(MOST_LOOKS):
-        if holds():
+async def until(condition: Callable[[], object]) -> None:
+    """Poll until a condition holds; raise `TimeoutError` otherwise."""
+    for _ in range(MAX_POLLS):
+        if condition():
             return
         await asyncio.sleep(0.005)
-    raise TimeoutError('the state did not come about')
+    raise TimeoutError('condition not met')
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -1,4 +1,4 @@
-"""A process with a role that can be told to misbehave."""
+"""A process with a fake role that can be made to fail."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @define
 class FakeRole:
-    """A role that notes what is done to it and can be told to misbehave."""
+    """A role that records its calls and can be made to fail."""
 
     calls: list[str] = field(factory=list)
     started: asyncio.Event = field(factory=asyncio.Event)
@@ -32,22 +32,22 @@
     let_go: asyncio.Event = field(factory=asyncio.Event)
 
     async def start(self):
-        self._act('start')
+        self._record_call('start')
         self.started.set()
 
     async def drain(self):
-        self._act('drain')
+        self._record_call('drain')
         self.draining.set()
-        await self._hang('drain')
+        await self._block('drain')
         await self.release.wait()
         self.calls.append('drained')
 
     async def stop(self):
-        self._act('stop')
-        await self._hang('stop')
+        self._record_call('stop')
+        await self._block('stop')
 
     def status(self):
-        self._act('status')
+        self._record_call('status')
         return {'queue': 3}
 
     def readiness(self):
@@ -64,13 +64,13 @@
             raise NotImplementedError
         return {'customer': customer, 'model': model}
 
-    async def _hang(self, step):
-        """Stay in a step whatever the cancellations."""
+    async def _block(self, step):
+        """Block in a step and ignore cancellation until `let_go` is set."""
         while step == self.endless and not self.let_go.is_set():
             with contextlib.suppress(asyncio.CancelledError):
                 await self.let_go.wait()
 
-    def _act(self, step):
+    def _record_call(self, step):
         self.calls.append(step)
         if step == self.cancelled:
             raise asyncio.CancelledError
@@ -79,7 +79,7 @@
 
 
 @define
-class Bench:
+class ProcessFixture:
     """One running process with a fake role."""
 
     role: FakeRole
@@ -106,15 +106,17 @@
     cfg = evolve(entry_settings(), limits=LimitsSection(drain_s=drain_s))
     runtime = Runtime(cfg=cfg, log=logging.getLogger('test'))
     life, stop = Lifecycle(runtime, role), Stop()
-    made = Bench(role, life, stop, asyncio.ensure_future(life.run(stop)))
+    fixture = ProcessFixture(
+        role, life, stop, asyncio.ensure_future(life.run(stop))
+    )
     await role.started.wait()
-    return made
+    return fixture
 
 
 def with_bench(check, role=None):
     async def scenario():
-        made = await bench(role)
-        await check(made)
-        assert await made.finish() == 0
+        fixture = await bench(role)
+        await check(fixture)
+        assert await fixture.finish() == 0
 
     run(scenario())
--- a/tests/support/quarantine_world.py
+++ b/tests/support/quarantine_world.py
@@ -1,8 +1,8 @@
-"""Entries with their quarantines before upstreams that end, in virtual time.
+"""Simulation of entries with quarantines and upstreams that crash.
 
-Nothing of it has a network: upstreams begin what they are sent after a while,
-words between entries are late or lost, and agents tell of an end a moment
-later. Requests go to upstreams drawn by chance.
+Time is virtual and there is no network: upstreams start a request after a
+delay, messages between entries are delayed or lost, and agents report the end
+of an upstream with a delay. Requests go to random upstreams.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 )
 from crowrudder_model.messages import SuspectNews
 
-ATTEMPTS = 2
-BEGIN_S = (0.08, 0.4)
-RUN_S = (0.8, 3.0)
-FATAL_AFTER_S = (0.02, 0.12)
-AWAY_S = 2.0
-AGENT_SEES_S = (0.1, 0.25)
-WORD_S = (0.004, 0.05)
-LOST = 0.02
-RETURNS = 1
-COMES_BACK_S = (0.02, 0.2)
+MAX_ATTEMPTS = 2
+START_DELAY_S = (0.08, 0.4)
+RUN_DURATION_S = (0.8, 3.0)
+CRASH_DELAY_S = (0.02, 0.12)
+RESTART_DELAY_S = 2.0
+END_REPORT_DELAY_S = (0.1, 0.25)
+MESSAGE_DELAY_S = (0.004, 0.05)
+MESSAGE_LOSS_RATE = 0.02
+MAX_CALLER_RETRIES = 1
+CALLER_RETRY_DELAY_S = (0.02, 0.2)
 FATAL = 7
-NEAR = 7
-"""Partners of an entry that it tells news."""
+UPDATE_PARTNERS = 7
+"""Number of partners to which an entry sends an update."""
 
 
 @define(eq=False)
-class Life:
-    """One life of an upstream, and the runs that are there."""
+class UpstreamIncarnation:
+    """One incarnation of an upstream and its current runs."""
 
     name: str
     ends_at: float = float('inf')
@@ -49,10 +49,10 @@
 
 @frozen
 class Fleet:
-    """The size of a fleet, and the load on it.
+    """The size of a fleet and its load.
 
-    ``beside`` is how many other requests a second one upstream gets,
-    ``fatal_every_s`` the time between two arrivals of the fatal one.
+    ``beside`` is the rate of other requests per upstream and second,
+    ``fatal_every_s`` the interval between two arrivals of a fatal request.
     """
 
     entries: int
@@ -70,15 +70,15 @@
     digest: int
     entry: int
     sends: int
-    tries: int
-    life: Life
-    began_at: float = float('inf')
+    caller_retries: int
+    incarnation: UpstreamIncarnation
+    started_at: float = float('inf')
     is_over: bool = False
 
 
 @define(eq=False)
 class QuarantineWorld:
-    """Plays a fatal request among others."""
+    """Simulates fatal requests among other requests."""
 
     fleet: Fleet
     seed: int
@@ -88,31 +88,33 @@
     fatal_sends: list = field(factory=list)
     words: int = 0
     rng: Any = field(init=False)
-    cores: list = field(init=False)
+    quarantines: list = field(init=False)
     names: list = field(init=False)
-    lives: list = field(init=False)
+    incarnations: list = field(init=False)
     _events: list = field(factory=list)
     _count: Any = field(factory=itertools.count)
 
     def __attrs_post_init__(self):
         self.rng = random.Random(self.seed)
-        self.cores = [Quarantine() for _ in range(self.fleet.entries)]
+        self.quarantines = [Quarantine() for _ in range(self.fleet.entries)]
         self.names = [str(number) for number in range(self.fleet.entries)]
-        self.lives = [Life(f'u{n}') for n in range(self.fleet.upstreams)]
+        self.incarnations = [
+            UpstreamIncarnation(f'u{n}') for n in range(self.fleet.upstreams)
+        ]
 
     def play(self):
-        """Run to the end."""
+        """Run the simulation to its end."""
         rate = self.fleet.beside * self.fleet.upstreams
         at = 0.0
         for digest in itertools.count(1000):
             at += self.rng.expovariate(rate)
             if at > self.fleet.lasts_s:
                 break
-            self._at(at, self._arrive, digest, 0)
+            self._schedule(at, self._arrive, digest, 0)
         for caller in range(self.fleet.fatal_callers):
             at = 1.0 + self.rng.uniform(0, 0.1)
             while at < self.fleet.lasts_s:
-                self._at(at, self._arrive, FATAL + caller, 0)
+                self._schedule(at, self._arrive, FATAL + caller, 0)
                 at += self.fleet.fatal_every_s
         while self._events:
             self.now, _, call, args = heapq.heappop(self._events)
@@ -120,7 +122,7 @@
         return self
 
     def sent_after_third(self, slack_s):
-        """Count sends of a fatal request so long after its third end."""
+        """Count sends of a fatal request after its third crash plus the slack."""
         late = 0
         for digest in range(FATAL, FATAL + self.fleet.fatal_callers):
             ends = [at for at, cause in self.ended if cause == digest]
@@ -130,7 +132,7 @@
                 late = max(late, sum(at > since for at in sends))
         return late
 
-    def _at(self, at, call, *args):
+    def _schedule(self, at, call, *args):
         heapq.heappush(self._events, (at, next(self._count), call, args))
 
     def _within(self, times):
@@ -139,114 +141,139 @@
     def _is_fatal(self, digest):
         return digest < FATAL + self.fleet.fatal_callers
 
-    def _arrive(self, digest, tries):
+    def _arrive(self, digest, caller_retries):
         entry = self.rng.randrange(self.fleet.entries)
-        self._send(digest, entry, 0, tries, None)
+        self._send(digest, entry, 0, caller_retries, None)
 
-    def _send(self, digest, entry, sends, tries, avoid):
-        core = self.cores[entry]
-        if core.is_convicted(digest, now=self.now):
+    def _send(self, digest, entry, sends, caller_retries, excluded):
+        quarantine = self.quarantines[entry]
+        if quarantine.is_convicted(digest, now=self.now):
             self.rejected.add(digest)
             return
-        life = self._place(avoid)
-        if life is None:
+        incarnation = self._choose_upstream(excluded)
+        if incarnation is None:
             return
         if self._is_fatal(digest):
             self.fatal_sends.append((self.now, digest))
-        run = Run(digest, entry, sends + 1, tries, life)
-        life.runs.append(run)
-        self._at(self._within(BEGIN_S), self._begin, run)
-
-    def _place(self, avoid):
-        sound = [
-            life
-            for life in self.lives
-            if life.ends_at > self.now and life is not avoid
+        run = Run(digest, entry, sends + 1, caller_retries, incarnation)
+        incarnation.runs.append(run)
+        self._schedule(self._within(START_DELAY_S), self._start, run)
+
+    def _choose_upstream(self, excluded):
+        alive = [
+            incarnation
+            for incarnation in self.incarnations
+            if incarnation.ends_at > self.now and incarnation is not excluded
         ]
-        return self.rng.choice(sound) if sound else None
+        return self.rng.choice(alive) if alive else None
 
-    def _begin(self, run):
+    def _start(self, run):
         if run.is_over:
             return
-        run.began_at = self.now
+        run.started_at = self.now
         if self._is_fatal(run.digest):
-            self._at(self._within(FATAL_AFTER_S), self._end, run)
+            self._schedule(self._within(CRASH_DELAY_S), self._crash, run)
         else:
-            self._at(self._within(RUN_S), self._whole, run)
+            self._schedule(
+                self._within(RUN_DURATION_S), self._on_completed, run
+            )
 
-    def _whole(self, run):
+    def _on_completed(self, run):
         if run.is_over:
             return
         run.is_over = True
-        run.life.runs.remove(run)
-        core = self.cores[run.entry]
-        self._carry_out(run.entry, core.on_whole(run.digest, now=self.now))
-
-    def _end(self, run):
-        life = run.life
-        if run.is_over or life.ends_at <= self.now:
+        run.incarnation.runs.remove(run)
+        quarantine = self.quarantines[run.entry]
+        self._apply_effects(
+            run.entry, quarantine.on_whole(run.digest, now=self.now)
+        )
+
+    def _crash(self, run):
+        incarnation = run.incarnation
+        if run.is_over or incarnation.ends_at <= self.now:
             return
-        life.ends_at = self.now
+        incarnation.ends_at = self.now
         self.ended.append((self.now, run.digest))
-        seen_at = self._within(AGENT_SEES_S)
-        for each in life.runs:
+        seen_at = self._within(END_REPORT_DELAY_S)
+        for each in incarnation.runs:
             each.is_over = True
-            self._broken(each)
-        for entry in sorted({each.entry for each in life.runs}):
-            self._at(seen_at, self._seen, entry, life)
-        self._at(self.now + AWAY_S, self._back, life)
-
-    def _broken(self, run):
-        core = self.cores[run.entry]
-        ran_s = max(self.now - run.began_at, 0)
-        core.on_broken(run.digest, [run.life.name], ran_s=ran_s, now=self.now)
-        may_again = core.may_send_again(run.digest, now=self.now)
-        if run.sends < ATTEMPTS and may_again:
-            args = (run.digest, run.entry, run.sends, run.tries, run.life)
-            self._at(self.now, self._send, *args)
-        elif run.tries < RETURNS:
-            self._at(
-                self._within(COMES_BACK_S),
+            self._on_connection_closed(each)
+        for entry in sorted({each.entry for each in incarnation.runs}):
+            self._schedule(seen_at, self._on_end_reported, entry, incarnation)
+        self._schedule(self.now + RESTART_DELAY_S, self._restart, incarnation)
+
+    def _on_connection_closed(self, run):
+        quarantine = self.quarantines[run.entry]
+        ran_s = max(self.now - run.started_at, 0)
+        quarantine.on_broken(
+            run.digest, [run.incarnation.name], ran_s=ran_s, now=self.now
+        )
+        may_retry = quarantine.may_send_again(run.digest, now=self.now)
+        if run.sends < MAX_ATTEMPTS and may_retry:
+            args = (
+                run.digest,
+                run.entry,
+                run.sends,
+                run.caller_retries,
+                run.incarnation,
+            )
+            self._schedule(self.now, self._send, *args)
+        elif run.caller_retries < MAX_CALLER_RETRIES:
+            self._schedule(
+                self._within(CALLER_RETRY_DELAY_S),
                 self._arrive,
                 run.digest,
-                run.tries + 1,
+                run.caller_retries + 1,
             )
 
-    def _seen(self, entry, life):
-        core = self.cores[entry]
-        self._carry_out(entry, core.on_ended(life.name, now=self.now))
+    def _on_end_reported(self, entry, incarnation):
+        quarantine = self.quarantines[entry]
+        self._apply_effects(
+            entry, quarantine.on_ended(incarnation.name, now=self.now)
+        )
 
-    def _back(self, life):
-        name, _, number = life.name.partition('.')
-        self.lives.remove(life)
-        self.lives.append(Life(f'{name}.{int(number or 1) + 1}'))
+    def _restart(self, incarnation):
+        name, _, number = incarnation.name.partition('.')
+        self.incarnations.remove(incarnation)
+        self.incarnations.append(
+            UpstreamIncarnation(f'{name}.{int(number or 1) + 1}')
+        )
 
-    def _carry_out(self, entry, effects):
+    def _apply_effects(self, entry, effects):
         for effect in effects:
             match effect:
-                case Tell(word=word, audience=Audience.PARTNERS):
+                case Tell(word=report, audience=Audience.PARTNERS):
                     others = [n for n in self.names if n != str(entry)]
-                    count = min(NEAR, len(others))
-                    self._tell(word, self.rng.sample(others, count))
-                case Tell(word=word):
-                    chosen = owners(word.digest, self.names)
-                    self._tell(word, [n for n in chosen if n != str(entry)])
+                    count = min(UPDATE_PARTNERS, len(others))
+                    self._send_report(report, self.rng.sample(others, count))
+                case Tell(word=report):
+                    chosen = owners(report.digest, self.names)
+                    self._send_report(
+                        report, [n for n in chosen if n != str(entry)]
+                    )
                 case Convicted(digest=digest):
-                    self._take_back(entry, digest)
+                    self._withdraw_queued(entry, digest)
 
-    def _tell(self, word, names):
+    def _send_report(self, report, names):
         for name in names:
             self.words += 1
-            if self.rng.random() >= LOST:
-                self._at(self._within(WORD_S), self._hear, int(name), word)
-
-    def _hear(self, entry, word):
-        news = SuspectNews((word,))
-        self._carry_out(entry, self.cores[entry].on_news(news, now=self.now))
-
-    def _take_back(self, entry, digest):
-        for life in self.lives:
-            for run in life.runs:
-                is_waiting = run.began_at > self.now and not run.is_over
+            if self.rng.random() >= MESSAGE_LOSS_RATE:
+                self._schedule(
+                    self._within(MESSAGE_DELAY_S),
+                    self._receive,
+                    int(name),
+                    report,
+                )
+
+    def _receive(self, entry, report):
+        update = SuspectNews((report,))
+        self._apply_effects(
+            entry, self.quarantines[entry].on_news(update, now=self.now)
+        )
+
+    def _withdraw_queued(self, entry, digest):
+        for incarnation in self.incarnations:
+            for run in incarnation.runs:
+                is_waiting = run.started_at > self.now and not run.is_over
                 if run.digest == digest and run.entry == entry and is_waiting:
                     run.is_over = True
--- a/tests/support/served.py
+++ b/tests/support/served.py
@@ -1,4 +1,4 @@
-"""A stand-in that is served for the time of a check."""
+"""A stand-in server that runs during a check."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 async def served(standin, check):
-    """Run a check with a stand-in's address."""
+    """Serve a stand-in and run a check with its address."""
     server = application(standin).listen(0, '127.0.0.1')
     port = next(iter(server._sockets.values())).getsockname()[1]
     pool = ConnectionPool()
--- a/tests/support/settings.py
+++ b/tests/support/settings.py
@@ -1,4 +1,4 @@
-"""Settings for tests: small texts and ready values."""
+"""Settings for tests, as INI texts and as parsed values."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def text_of(sections: dict[str, dict[str, str]]) -> str:
-    """Write sections as an INI file."""
+    """Return sections as the text of an INI file."""
     lines = []
     for section, keys in sections.items():
         lines.append(f'[{section}]')
@@ -63,7 +63,7 @@
     key: str,
     text: str | None,
 ) -> str:
-    """Write sections with one key set, or left out where `text` is None."""
+    """Return an INI text with one key set, or removed if `text` is None."""
     copy = {name: dict(keys) for name, keys in sections.items()}
     copy.setdefault(section, {})
     if text is None:
@@ -74,7 +74,7 @@
 
 
 def entry_settings(**process: int | str) -> Settings:
-    """Make the settings of an entry that listens on free ports."""
+    """Return settings of an entry that listens on free ports."""
     values: dict[str, Any] = {
         **ENTRY['process'],
         'rpc_port': 0,
--- a/tests/support/stage.py
+++ b/tests/support/stage.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on which steps are played."""
+"""A fleet of real processes whose requests are held at fixed steps."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     engines=2,
     plains=0,
     slots=3,
-    # Which of many requests gets the last retry is left to chance.
+    # A smaller share makes it random which request gets the last retry.
     retry_share=1,
     member_lag_s=0.05,
     poll_s=0.5,
@@ -33,7 +33,7 @@
 STREAMS = 4
 
 
-WAITING = 12
+PENDING = 12
 
 
 STREAM_TOKENS = 60
@@ -59,7 +59,7 @@
 
 
 class Stage:
-    """A fleet with requests that are held at their steps."""
+    """A fleet that holds requests mid stream, permitted and queued."""
 
     def __init__(self, fleet: Fleet, declared: Declared) -> None:
         self.fleet = fleet
@@ -67,7 +67,7 @@
         self.callers: list[Caller] = []
         self.sent: list[asyncio.Task] = []
         self.endings: list[Ending] = []
-        self._story = 0
+        self._round = 0
 
     async def set_up(self) -> None:
         await self.fleet.start()
@@ -83,28 +83,30 @@
 
         await until(agreed, step='settle', timeout_s=20)
         for entry in self.fleet.entries:
-            await until(self._routes(entry), step='routes', timeout_s=10)
+            await until(
+                self._has_all_routes(entry), step='routes', timeout_s=10
+            )
 
     async def hold(self) -> None:
-        """Bring streams to their middle, then permitted and queued ones."""
+        """Bring streams mid stream, then add permitted and queued requests."""
         self.sent, self.endings = [], []
         self._open_callers()
-        await self._switch('stall', on=True)
-        await asyncio.gather(*(self._begin(n) for n in range(STREAMS)))
-        await self._switch('freeze', on=True)
+        await self._set_fault('stall', on=True)
+        await asyncio.gather(*(self._start_stream(n) for n in range(STREAMS)))
+        await self._set_fault('freeze', on=True)
         self.sent.extend(
             asyncio.create_task(
                 self._caller(number).send(self._request(number))
             )
-            for number in range(STREAMS, STREAMS + WAITING)
+            for number in range(STREAMS, STREAMS + PENDING)
         )
         await until(self._is_full, step='fill', timeout_s=10)
 
     async def release(self) -> None:
-        """Let all engines go on."""
-        await self._switch('', on=False)
+        """Let all engines continue."""
+        await self._set_fault('', on=False)
 
-    async def _switch(self, fault: str, *, on: bool) -> None:
+    async def _set_fault(self, fault: str, *, on: bool) -> None:
         running = [
             agent.upstream
             for agent in self.fleet.engine_agents
@@ -126,7 +128,7 @@
         self.endings.append(Ending(process.name, 0, float('inf')))
 
     async def end(self):
-        """Let the engines go on and compare the books."""
+        """Let the engines continue and compare the request logs."""
         await self.release()
         await asyncio.gather(*self.sent)
         await self.mend()
@@ -140,7 +142,7 @@
         )
 
     async def mend(self) -> None:
-        """Start what was ended, for the next test."""
+        """Restart the stopped processes, for the next test."""
         for process in self.fleet.processes:
             if not process.running:
                 await self.fleet.start_process(process)
@@ -149,7 +151,7 @@
         await self.settled()
 
     def host_of_stream(self):
-        """Find the agent that streams the first, which may not repeat."""
+        """Return the agent of the first stream, which is not idempotent."""
         request_id = self._request(0).request_id
         for agent in self.fleet.engine_agents:
             assert agent.upstream
@@ -158,20 +160,20 @@
         raise AssertionError(f'{request_id} runs nowhere')
 
     def started_twice(self, books: Books) -> list[str]:
-        """Name requests that may not repeat and did."""
-        every = [self._request(n) for n in range(STREAMS + WAITING)]
+        """Return the non-idempotent requests that started more than once."""
+        all_requests = [self._request(n) for n in range(STREAMS + PENDING)]
         return [
             each.request_id
-            for each in every
+            for each in all_requests
             if not each.idempotent and books.starts[each.request_id] > 1
         ]
 
     def _request(self, number: int) -> Request:
         return Request(
-            request_id=f'draft-{self._story}-{number}',
+            request_id=f'draft-{self._round}-{number}',
             customer='breeder-portal',
             model='listing',
-            prompt=f'{self._story} {number}',
+            prompt=f'{self._round} {number}',
             max_tokens=STREAM_TOKENS if number < STREAMS else TOKENS,
             streamed=number < STREAMS or number % 4 > 1,
             idempotent=bool(number % 2),
@@ -179,48 +181,52 @@
         )
 
     def _caller(self, number: int) -> Caller:
-        """Give the first two streams to the first entry."""
+        """Return the caller of a request: the first two use the first entry."""
         return self.callers[number // 2 % len(self.callers)]
 
     async def _warm_up(self) -> None:
-        """Open the connections, so that streams begin close together."""
+        """Open the connections, so that streams start close together."""
         self._open_callers()
         await asyncio.gather(
             *(
                 self._caller(number).call(self._request(STREAMS + number))
-                for number in range(WAITING)
+                for number in range(PENDING)
             )
         )
 
     def _open_callers(self) -> None:
-        self._story += 1
+        self._round += 1
         self.callers = [
             Caller(f'http://127.0.0.1:{entry.member["http_port"]}', seed=1)
             for entry in self.fleet.entries
         ]
 
-    async def _begin(self, number: int) -> None:
-        begun = asyncio.Event()
+    async def _start_stream(self, number: int) -> None:
+        started = asyncio.Event()
         sending = self._caller(number).send(
-            self._request(number), on_chunk=begun.set
+            self._request(number), on_chunk=started.set
         )
         self.sent.append(asyncio.create_task(sending))
-        await begun.wait()
+        await started.wait()
 
     async def _is_full(self) -> bool:
-        """Tell whether slots are taken and others wait, at every agent."""
-        found = []
+        """Return whether every agent has full slots and a queue."""
+        results = []
         for agent in self.fleet.engine_agents:
             status = await self.fleet.status(agent)
             full = status and status['running'] == PLAN.slots
-            found.append(full and status['queued'])
-        return all(found)
+            results.append(full and status['queued'])
+        return all(results)
 
-    def _routes(self, entry):
-        async def holds() -> bool:
+    def _has_all_routes(self, entry):
+        async def has_all_routes() -> bool:
             url = f'{entry.admin_url}/explain?customer=breeder-portal'
-            told = await self.fleet.web.tried_json(f'{url}&model=listing')
-            able = [each for each in told['routes'] if each['candidate']]
-            return len(able) == PLAN.engines
+            explanation = await self.fleet.web.tried_json(
+                f'{url}&model=listing'
+            )
+            candidates = [
+                each for each in explanation['routes'] if each['candidate']
+            ]
+            return len(candidates) == PLAN.engines
 
-        return holds
+        return has_all_routes
--- a/tests/support/weights_versions.py
+++ b/tests/support/weights_versions.py
@@ -1,4 +1,4 @@
-"""Two small versions with common chunks, and transfers of them."""
+"""Two small versions that share chunks, and transfers of them."""
 
 from __future__ import annotations
 
--- a/tests/support/wire.py
+++ b/tests/support/wire.py
@@ -1,4 +1,4 @@
-"""A server that says exactly the bytes that a test wants."""
+"""A server that sends exactly the bytes that a test specifies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @define
 class WireServer:
-    """Answers the n-th request with the n-th text."""
+    """Answers the n-th request with the n-th item of ``texts``."""
 
     texts: list[bytes]
     close: bool = False
@@ -26,7 +26,7 @@
     _writers: list[asyncio.StreamWriter] = field(factory=list)
 
     def say(self, text: bytes) -> None:
-        """Send bytes that nobody asked for on the last connection."""
+        """Send unsolicited bytes on the last connection."""
         self._writers[-1].write(text)
 
     async def on_connection(self, reader, writer):
@@ -38,13 +38,13 @@
                 writer.write(self.texts.pop(0))
                 await writer.drain()
                 if self.close or self.reset:
-                    self._end(writer)
+                    self._close(writer)
                     return
                 if self.read_head_only:
                     return
             await reader.read()
 
-    def _end(self, writer):
+    def _close(self, writer):
         if self.reset:
             sock = writer.get_extra_info('socket')
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
@@ -57,7 +57,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(texts, **more):
-    """Run a server for the time of a test."""
+    """Run a server during a test."""
     wire = WireServer(list(texts), **more)
     server = await asyncio.start_server(wire.on_connection, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
