--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""One verdict for one state of the code: fixed seeds, no clock limits."""
+"""Pytest configuration: fixed seeds and no deadlines, so runs are repeatable."""
 
 from __future__ import annotations
 
--- a/tests/workspace/test_known_red.py
+++ b/tests/workspace/test_known_red.py
@@ -26,11 +26,11 @@
         (suite.path / 'KNOWN-RED.txt').write_text(listed)
         return suite.runpytest_inprocess('-p', 'support.known_red', *args)
 
-    def test_absent_list_passes_nothing_over(self, suite):
+    def test_missing_list_tolerates_no_failure(self, suite):
         outcome = suite.runpytest_inprocess('-p', 'support.known_red')
         outcome.assert_outcomes(failed=2, errors=1, passed=1, skipped=1)
 
-    def test_only_the_named_failure_is_passed_over_and_printed(self, suite):
+    def test_only_the_listed_failure_is_tolerated_and_printed(self, suite):
         outcome = self._run(suite, 'test_suite.py::test_red | a cause | #2\n')
         outcome.assert_outcomes(
             failed=1, errors=1, passed=1, skipped=1, xfailed=1
@@ -41,7 +41,7 @@
             ]
         )
 
-    def test_run_of_only_the_named_failure_succeeds(self, suite):
+    def test_run_of_only_the_listed_failure_succeeds(self, suite):
         listed = 'test_suite.py::test_red | a cause | #2\n'
         outcome = self._run(suite, listed, 'test_suite.py::test_red')
         assert outcome.ret == pytest.ExitCode.OK
@@ -50,20 +50,22 @@
         ('name', 'expected'),
         [('test_green', 'passes'), ('test_skipped', 'is skipped')],
     )
-    def test_named_test_that_does_not_fail_is_red(self, suite, name, expected):
+    def test_listed_test_that_does_not_fail_is_an_error(
+        self, suite, name, expected
+    ):
         outcome = self._run(suite, f'test_suite.py::{name} | c | #2\n')
-        # One more than the two failures and the broken set-up of the suite.
+        # One more than the two failures and the set-up error of the suite.
         counts = outcome.parseoutcomes()
         assert counts['failed'] + counts['errors'] == 4
         outcome.stdout.fnmatch_lines([f'*test_suite.py::{name} {expected}*'])
 
-    def test_broken_set_up_stays_red(self, suite):
+    def test_set_up_error_is_not_tolerated(self, suite):
         outcome = self._run(
             suite, 'test_suite.py::test_broken_set_up | c | #2\n'
         )
         outcome.assert_outcomes(failed=2, errors=1, passed=1, skipped=1)
 
-    def test_named_test_that_is_absent_stops_the_run(self, suite):
+    def test_listed_test_that_is_missing_stops_the_run(self, suite):
         outcome = self._run(suite, 'test_suite.py::test_gone | c | #2\n')
         assert outcome.ret == pytest.ExitCode.USAGE_ERROR
         outcome.stderr.fnmatch_lines(['*no such test: *test_gone*'])
@@ -77,12 +79,12 @@
             ('a::b | | #1\n', '*is not "test id | cause | issue"*'),
         ],
     )
-    def test_bad_list_stops_the_run(self, suite, listed, expected):
+    def test_malformed_list_stops_the_run(self, suite, listed, expected):
         outcome = self._run(suite, listed)
         assert outcome.ret == pytest.ExitCode.USAGE_ERROR
         outcome.stderr.fnmatch_lines([expected])
 
-    def test_played_day_is_printed_and_passes_no_test_over(self, suite):
+    def test_simulated_day_is_printed_and_tolerates_no_test(self, suite):
         suite.path.joinpath('deploy', 'days').mkdir(parents=True)
         (suite.path / 'deploy/days/cut.toml').touch()
         outcome = self._run(suite, 'deploy/days/cut.toml --seed 2 | c | #2\n')
@@ -91,7 +93,7 @@
             ['KNOWN RED: deploy/days/cut.toml --seed 2 | c | #2']
         )
 
-    def test_played_day_without_its_file_stops_the_run(self, suite):
+    def test_simulated_day_without_its_file_stops_the_run(self, suite):
         outcome = self._run(suite, 'deploy/days/gone.toml --seed 2 | c | #2\n')
         assert outcome.ret == pytest.ExitCode.USAGE_ERROR
         outcome.stderr.fnmatch_lines(['*no such day: deploy/days/gone.toml'])
--- a/tests/workspace/test_layers.py
+++ b/tests/workspace/test_layers.py
@@ -19,8 +19,8 @@
     'standins': {'model'},
     'platform': {'model', 'core', 'daemon'},
 }
-# Input, output, clocks and the global random source, by module. A source that
-# is handed in is `random.Random`, imported by that name.
+# Modules for input, output, clocks and the global random generator. A generator
+# that is passed in is a `random.Random`, imported by that name.
 IMPURE = {
     'asyncio',
     'grpc',
@@ -35,7 +35,7 @@
 }
 
 
-def sources_of(package):
+def sources_in(package):
     folder = ROOT / package if package == 'platform' else PACKAGES / package
     found = sorted((folder / 'src').rglob('*.py'))
     assert found
@@ -43,7 +43,7 @@
 
 
 def modules_imported_by(package):
-    for path in sources_of(package):
+    for path in sources_in(package):
         for node in ast.walk(ast.parse(path.read_text())):
             match node:
                 case ast.Import(names=names):
@@ -56,37 +56,37 @@
 
 @pytest.mark.parametrize('package', sorted(MAY_IMPORT))
 class TestLayers:
-    def test_package_imports_only_what_is_below_it(self, package):
+    def test_package_imports_only_lower_layers(self, package):
         allowed = {f'crowrudder_{name}' for name in MAY_IMPORT[package]}
         allowed.add(f'crowrudder_{package}')
-        wrong = [
+        violations = [
             (file, module)
             for file, module in modules_imported_by(package)
             if module.startswith('crowrudder_')
             and module.split('.')[0] not in allowed
         ]
-        assert not wrong
+        assert not violations
 
 
 @pytest.mark.parametrize('package', ['model', 'core'])
 class TestPurity:
     def test_no_input_output_clock_or_random_source(self, package):
-        wrong = [
+        violations = [
             (file, module)
             for file, module in modules_imported_by(package)
             if module.split('.')[0] in IMPURE and module != 'random.Random'
         ]
-        assert not wrong
+        assert not violations
 
 
 def module_graph():
-    """Give the modules of the workspace and what each imports of them.
+    """Return the modules of the workspace and their imports of each other.
 
-    Imports that only the type checker reads count as well.
+    Imports for type checking only count as well.
     """
     modules = {}
     for package in MAY_IMPORT:
-        for path in sources_of(package):
+        for path in sources_in(package):
             parts = path.relative_to(
                 path.parents[path.parts[::-1].index('src')]
             )
@@ -111,23 +111,23 @@
     return found & modules.keys()
 
 
-class TestCircles:
+class TestImportCycles:
     def test_no_modules_import_each_other(self):
-        """Two modules that know each other can only be read together."""
+        """Modules that import each other cannot be understood separately."""
         graph = module_graph()
         assert any(graph.values())
-        sorted_ones = tuple(graphlib.TopologicalSorter(graph).static_order())
-        assert len(sorted_ones) == len(graph)
+        ordered = tuple(graphlib.TopologicalSorter(graph).static_order())
+        assert len(ordered) == len(graph)
 
 
 class TestStandardLibrary:
     def test_platform_is_still_pythons_own_module(self):
-        """A folder hid a module of the standard library.
+        """Guard against a package that shadows a standard library module.
 
-        Symptom: every library that asks for the operating system fails as it
-        is imported. Sequence: a process starts at the root of the repository,
-        which is first on Python's path. Cause: a package there is named
-        `platform`.
+        The root of the repository is first on the import path of a process
+        that starts there. A package named `platform` in the root would shadow
+        the standard module, and every library that queries the operating
+        system would fail on import.
         """
         assert not (ROOT / 'platform' / '__init__.py').exists()
         found = subprocess.run(
@@ -144,9 +144,9 @@
         assert found.stdout.strip()
 
 
-# Words of the outside system's pages that nothing but its adapter may know.
-# `Retry-After` and `Last-Event-Id` are HTTP's own, and `X-Deadline-Ms` is a word
-# of crowrudder's own callers' interface as well.
+# Names of the external platform's interface that only its adapter may use.
+# `Retry-After` and `Last-Event-Id` are standard HTTP, and `X-Deadline-Ms` is
+# also part of crowrudder's own interface for callers.
 FOREIGN = re.compile(
     r"""X-Attempt-Id|X-Expect-|X-Tenant|X-Credential
     |X-Replica-|X-Not-Executed|X-Token-Count|X-Prompt-Prefix|X-Request-Urgency
@@ -162,14 +162,14 @@
     @pytest.mark.parametrize(
         'package', sorted(set(MAY_IMPORT) - {'platform', 'standins'})
     )
-    def test_only_the_adapter_knows_the_platforms_names(self, package):
-        wrong = [
+    def test_only_the_adapter_uses_platform_names(self, package):
+        violations = [
             (path.name, found.group())
-            for path in sources_of(package)
+            for path in sources_in(package)
             for found in FOREIGN.finditer(path.read_text())
         ]
-        assert not wrong
+        assert not violations
 
-    def test_the_pattern_finds_them_in_the_adapter(self):
-        texts = [path.read_text() for path in sources_of('platform')]
+    def test_pattern_matches_names_in_the_adapter(self):
+        texts = [path.read_text() for path in sources_in('platform')]
         assert any(FOREIGN.search(text) for text in texts)
