--- a/scripts/_binds_lines.py
+++ b/scripts/_binds_lines.py
@@ -1,4 +1,4 @@
-"""Structured log lines of a fleet, as far as the report goes by them."""
+"""Parsing of a fleet's structured log lines."""
 
 from __future__ import annotations
 
@@ -11,38 +11,40 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-AT_FORMAT = '%Y-%m-%d %H:%M:%S,%f'
+TIME_FORMAT = '%Y-%m-%d %H:%M:%S,%f'
 
 
 @frozen
-class Line:
-    """One line: when, by which host, and all that it says.
+class LogLine:
+    """One log line: its time, host, message and all fields.
 
-    ``at`` is in seconds since 1970 by the clock of its host.
+    ``at`` is in seconds since the epoch by the host's clock.
     """
 
     at: float
     host: str
     message: str
-    said: dict[str, Any]
+    fields: dict[str, Any]
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Give the lines that are a process's; what stands before them is left.
+def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+    """Yield the structured lines, without any prefix; skip all others.
 
-    Collectors put a time or a host before each line.
+    Log collectors put a time or a host before each line.
     """
     for text in texts:
         _, brace, rest = text.partition('{')
-        line = _line(brace + rest)
+        line = _parse_line(brace + rest)
         if line is not None:
             yield line
 
 
-def _line(text: str) -> Line | None:
+def _parse_line(text: str) -> LogLine | None:
     try:
-        said = json.loads(text)
-        at = datetime.strptime(said['at'], AT_FORMAT)
-        return Line(at.timestamp(), said['host'], said['message'], said)
+        fields = json.loads(text)
+        at = datetime.strptime(fields['at'], TIME_FORMAT)
+        return LogLine(
+            at.timestamp(), fields['host'], fields['message'], fields
+        )
     except (ValueError, KeyError, TypeError):
         return None
--- a/scripts/_binds_plot.py
+++ b/scripts/_binds_plot.py
@@ -1,11 +1,11 @@
-"""A plot of what became of requests; matplotlib comes with `report`."""
+"""Plot of request outcomes; needs matplotlib from the `report` extra."""
 
 from __future__ import annotations
 
 import importlib
 from typing import TYPE_CHECKING, Any
 
-from _binds_tables import Fate
+from _binds_tables import RequestOutcome
 
 if TYPE_CHECKING:
     from _binds_tables import Window
@@ -17,25 +17,29 @@
 def draw(
     windows: dict[tuple[int, str], Window], width_s: float, file: str
 ) -> None:
-    """Stack the fates of each window's requests, over all routes."""
+    """Draw stacked bars of each window's request outcomes, over all routes."""
     pyplot: Any = importlib.import_module('matplotlib.pyplot')
     numbers = sorted({number for number, _ in windows})
     starts = [number * width_s for number in numbers]
     figure, axes = pyplot.subplots(figsize=_INCHES)
     below = [0 for _ in numbers]
-    for fate in Fate:
+    for request_outcome in RequestOutcome:
         counts = [
             sum(
-                window.fates[fate]
+                window.outcomes[request_outcome]
                 for (number, _), window in windows.items()
                 if number == each
             )
             for each in numbers
         ]
-        axes.bar(starts, counts, width_s, bottom=below, label=fate.value)
-        below = [low + count for low, count in zip(below, counts, strict=True)]
+        axes.bar(
+            starts, counts, width_s, bottom=below, label=request_outcome.value
+        )
+        below = [
+            lower + count for lower, count in zip(below, counts, strict=True)
+        ]
     axes.set_xlabel('arrived, seconds')
     axes.set_ylabel('requests')
-    axes.legend(fontsize='small', ncols=len(Fate))
+    axes.legend(fontsize='small', ncols=len(RequestOutcome))
     figure.savefig(file, dpi=_DOTS_PER_INCH, bbox_inches='tight')
     pyplot.close(figure)
--- a/scripts/_binds_tables.py
+++ b/scripts/_binds_tables.py
@@ -1,4 +1,4 @@
-"""What became of the requests of each window, and of versions on each host."""
+"""Request outcomes by time window, and version milestones by host."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from _binds_lines import Line
+    from _binds_lines import LogLine
 
-_FIGURES = re.compile(r'\d+(\.\d+)?')
+_NUMBERS = re.compile(r'\d+(\.\d+)?')
 _VERSION = re.compile(r'(\S+) version (\d+)$')
-STAGES = {
+MILESTONES = {
     'manifest taken': 'manifest',
     'version held': 'held',
     'version staged': 'load begun',
     'version loaded': 'serving',
 }
-"""What a host logs of a version, and the moment that it stands for."""
+"""Milestone of a version by the log message that marks it."""
 
 
-class Fate(enum.Enum):
-    """What became of a request, by what its entry knows."""
+class RequestOutcome(enum.Enum):
+    """Outcome of a request as its entry recorded it."""
 
     IN_TIME = 'in time'
     LATE_FIRST = 'late first'
@@ -38,98 +38,102 @@
     GONE = 'left'
 
 
-def fate_of(line: Line) -> Fate:
-    """Tell what became of a request from its last line."""
-    said = line.said
+def outcome_of(line: LogLine) -> RequestOutcome:
+    """Return the outcome of a request from its last log line."""
+    fields = line.fields
     if line.message == 'request denied':
-        return Fate.DENIED
-    match said['outcome']:
+        return RequestOutcome.DENIED
+    match fields['outcome']:
         case 'answered':
-            return _fate_of_answer(line)
+            return _outcome_of_answer(line)
         case 'refused':
-            return Fate.REFUSED_AGAIN if said.get('came_back') else Fate.REFUSED
+            return (
+                RequestOutcome.REFUSED_AGAIN
+                if fields.get('came_back')
+                else RequestOutcome.REFUSED
+            )
         case 'caller_gone':
-            return Fate.GONE
+            return RequestOutcome.GONE
         case _:
-            return Fate.FAILED
+            return RequestOutcome.FAILED
 
 
-def _fate_of_answer(line: Line) -> Fate:
-    said = line.said
-    took_s = said['first_s'] if said['first_s'] >= 0 else said['took_s']
-    if took_s > said['goal_s']:
-        return Fate.LATE_FIRST
-    pause_goal_s = said.get('pause_goal_s')
-    if pause_goal_s and said['pause_s'] > pause_goal_s:
-        return Fate.LATE_PAUSE
-    return Fate.IN_TIME
+def _outcome_of_answer(line: LogLine) -> RequestOutcome:
+    fields = line.fields
+    took_s = fields['first_s'] if fields['first_s'] >= 0 else fields['took_s']
+    if took_s > fields['goal_s']:
+        return RequestOutcome.LATE_FIRST
+    pause_goal_s = fields.get('pause_goal_s')
+    if pause_goal_s and fields['pause_s'] > pause_goal_s:
+        return RequestOutcome.LATE_PAUSE
+    return RequestOutcome.IN_TIME
 
 
 @define
 class Window:
-    """The requests that arrived within one window."""
+    """Counts of the requests that arrived within one time window."""
 
-    fates: Counter[Fate] = field(factory=Counter)
+    outcomes: Counter[RequestOutcome] = field(factory=Counter)
     reasons: Counter[str] = field(factory=Counter)
 
-    def add(self, line: Line) -> None:
-        """Count a request, and why it wasn't answered in time."""
-        fate = fate_of(line)
-        self.fates[fate] += 1
-        if fate is not Fate.IN_TIME:
-            self.reasons[f'{fate.value}: {_reason(line)}'] += 1
+    def add(self, line: LogLine) -> None:
+        """Count a request and, unless answered in time, the reason."""
+        request_outcome = outcome_of(line)
+        self.outcomes[request_outcome] += 1
+        if request_outcome is not RequestOutcome.IN_TIME:
+            self.reasons[f'{request_outcome.value}: {_reason(line)}'] += 1
 
 
-def _reason(line: Line) -> str:
-    """Give the decision behind a fate, without its figures."""
-    said = line.said
-    attempts = said.get('attempts') or []
-    why = said['reason'] or '; '.join(
+def _reason(line: LogLine) -> str:
+    """Return the reason for an outcome, with its numbers masked."""
+    fields = line.fields
+    attempts = fields.get('attempts') or []
+    why = fields['reason'] or '; '.join(
         each['why'] for each in attempts if each['why']
     )
     if not why and attempts:
         age_s = attempts[-1].get('word_age_s', -1)
         why = f'sent {len(attempts)} times, word of {max(age_s, 0):.1f} s'
-    return _FIGURES.sub('#', why)[:70]
+    return _NUMBERS.sub('#', why)[:70]
 
 
 def windows_of(
-    lines: Iterable[Line], *, zero: float, width_s: float
+    lines: Iterable[LogLine], *, zero: float, width_s: float
 ) -> dict[tuple[int, str], Window]:
-    """Sort requests by the window of their arrival and their route."""
+    """Group requests by arrival window and route."""
     found: dict[tuple[int, str], Window] = defaultdict(Window)
     for line in lines:
         if line.message in {'request ended', 'request denied'}:
-            arrived = line.at - line.said.get('took_s', 0) - zero
-            route = line.said.get('route', '')
+            arrived = line.at - line.fields.get('took_s', 0) - zero
+            route = line.fields.get('route', '')
             found[int(arrived // width_s), route].add(line)
     return dict(found)
 
 
 @define
-class VersionStory:
-    """When a version was named, and how it went on at each host, seconds."""
+class VersionTimeline:
+    """When a version was announced, and its milestones by host, in seconds."""
 
-    named_at: float
+    announced_at: float
     hosts: dict[str, dict[str, float]] = field(factory=dict)
 
 
 def versions_of(
-    lines: Iterable[Line], *, zero: float
-) -> dict[str, VersionStory]:
-    """Tell each version's story from the lines of the agents."""
-    found: dict[str, VersionStory] = {}
+    lines: Iterable[LogLine], *, zero: float
+) -> dict[str, VersionTimeline]:
+    """Return the timeline of each version from the agents' log lines."""
+    found: dict[str, VersionTimeline] = {}
     for line in lines:
-        named = _VERSION.match(str(line.said.get('record', '')))
+        named = _VERSION.match(str(line.fields.get('record', '')))
         if named:
             name = f'{named[1]}@{named[2]}'
-            found.setdefault(name, VersionStory(line.at - zero))
-        stage = STAGES.get(line.message)
-        if stage is None:
+            found.setdefault(name, VersionTimeline(line.at - zero))
+        milestone = MILESTONES.get(line.message)
+        if milestone is None:
             continue
-        number = str(line.said.get('version', '')).rpartition('@')[2]
-        for name, story in found.items():
+        number = str(line.fields.get('version', '')).rpartition('@')[2]
+        for name, timeline in found.items():
             if name.rpartition('@')[2] == number:
-                moments = story.hosts.setdefault(line.host, {})
-                moments.setdefault(stage, line.at - zero)
+                milestones = timeline.hosts.setdefault(line.host, {})
+                milestones.setdefault(milestone, line.at - zero)
     return found
--- a/scripts/_books.py
+++ b/scripts/_books.py
@@ -1,4 +1,4 @@
-"""Comparison of the upstreams' own books with what callers received."""
+"""Comparison of the upstreams' request logs with the callers' answers."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @frozen
 class Books:
-    """The runs that all upstreams wrote down.
+    """The runs that all upstreams recorded.
 
-    `starts` counts by request id how often its first token was set out for;
-    a stream that resumes where it stood is no further start.
+    `starts` counts the runs that began at the first token, by request id; a
+    resumed stream doesn't count as another start.
     """
 
     starts: Counter[str]
@@ -53,7 +53,7 @@
 
 @frozen(kw_only=True)
 class Verdict:
-    """Counts over all requests, and a line on each miss."""
+    """Counts over all requests, and a line for each violation."""
 
     requests: int
     whole: int
@@ -68,12 +68,12 @@
 
     @property
     def clean(self) -> bool:
-        """Whether nothing happened that never may."""
+        """Whether there was no violation."""
         return not self.misses
 
 
-def never(_answer: Answer) -> bool:
-    """Excuse nothing."""
+def excuse_none(_answer: Answer) -> bool:
+    """Return False: excuse no answer."""
     return False
 
 
@@ -81,28 +81,28 @@
     books: Books,
     answers: Iterable[Answer],
     *,
-    excused: Callable[[Answer], bool] = never,
+    excused: Callable[[Answer], bool] = excuse_none,
 ) -> Verdict:
-    """Hold every request's answers against the books.
+    """Compare the answers of every request with the upstreams' records.
 
     Parameters
     ----------
     excused
-        Tells of a broken connection whether a known end of the entry's
-        process, and not the entry's own doing, explains it.
+        Returns whether a broken connection is explained by a known end of the
+        entry's process rather than by a fault of the entry.
     """
     by_id: dict[str, list[Answer]] = defaultdict(list)
     for answer in answers:
         by_id[answer.request.request_id].append(answer)
     found: dict[str, list[str]] = defaultdict(list)
-    for request_id, sendings in by_id.items():
-        for kind in _misses(books, request_id, sendings, excused):
+    for request_id, attempts in by_id.items():
+        for kind in _violations(books, request_id, attempts, excused):
             starts = books.starts[request_id]
             found[kind].append(
-                f'{kind}: {request_id}: {starts} starts, {_told(sendings)}'
+                f'{kind}: {request_id}: {starts} starts, {_describe(attempts)}'
             )
     not_whole = [
-        f'not whole: {each[0].request.request_id}: {_told(each)}'
+        f'not whole: {each[0].request.request_id}: {_describe(each)}'
         for each in by_id.values()
         if not any(one.whole for one in each)
     ]
@@ -120,33 +120,33 @@
     )
 
 
-def _told(sendings: list[Answer]) -> list[str]:
-    return [f'{one.status} {one.outcome} {one.detail}' for one in sendings]
+def _describe(attempts: list[Answer]) -> list[str]:
+    return [f'{one.status} {one.outcome} {one.detail}' for one in attempts]
 
 
-def _misses(
+def _violations(
     books: Books,
     request_id: str,
-    sendings: list[Answer],
+    attempts: list[Answer],
     excused: Callable[[Answer], bool],
 ) -> set[str]:
     starts = books.starts[request_id]
-    whole = any(one.whole for one in sendings)
-    misses = {_miss(one, excused) for one in sendings}
+    whole = any(one.whole for one in attempts)
+    misses = {_answer_violation(one, excused) for one in attempts}
     misses.discard('')
-    if starts > 1 and not sendings[0].request.idempotent:
+    if starts > 1 and not attempts[0].request.idempotent:
         misses.add('doubled')
     if whole and request_id in books.mixed_ids:
         misses.add('mixed')
     if whole and not starts:
         misses.add('crossed')
-    if starts and all(one.outcome == 'not_run' for one in sendings):
+    if starts and all(one.outcome == 'not_run' for one in attempts):
         misses.add('not_run_but_ran')
     return misses
 
 
-def _miss(one: Answer, excused: Callable[[Answer], bool]) -> str:
-    """Name what is wrong with one answer by itself."""
+def _answer_violation(one: Answer, excused: Callable[[Answer], bool]) -> str:
+    """Return the violation that a single answer shows; empty for none."""
     if one.left or (one.broken and excused(one)):
         return ''
     if one.flaw is not Flaw.NONE:
--- a/scripts/_end_state.py
+++ b/scripts/_end_state.py
@@ -1,4 +1,4 @@
-"""Checks of a fleet that no fault troubles any more."""
+"""Checks of a fleet after all faults have ended."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     from _fleet import Fleet
     from _process import Host
 
-_VIOLATIONS = re.compile(
+_VIOLATION_METRIC = re.compile(
     r'crowrudder_invariant_violations_total\{[^}]*\} ([0-9.]+)'
 )
-_LOGGED_FAULTS = ('"unhandled fault"', 'Uncaught exception', 'never retrieved')
+_FAULT_MARKS = ('"unhandled fault"', 'Uncaught exception', 'never retrieved')
 
 
 async def differing(fleet: Fleet, declared: Declared) -> list[str]:
-    """Name what isn't in the declared state yet."""
+    """Return what is not in the declared state yet."""
     found = []
     for host in fleet.hosts:
         status = await fleet.status(host) or {}
@@ -32,16 +32,16 @@
             found.append(f'{host.name} has {loaded!r} loaded: {hinders}')
     for host in fleet.engine_agents:
         state = await _engine_state(fleet, host)
-        shown = (state.get('model'), state.get('version'))
-        if shown != (declared.model, declared.version):
-            found.append(f'the engine of {host.name} has {shown}')
+        served = (state.get('model'), state.get('version'))
+        if served != (declared.model, declared.version):
+            found.append(f'the engine of {host.name} has {served}')
     return found
 
 
 async def end_state_faults(
     fleet: Fleet, declared: Declared, generations: Mapping[str, int]
 ) -> list[str]:
-    """Name what may not have happened, as the processes themselves tell it.
+    """Return the faults that the processes themselves report.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
     """
     faults = await differing(fleet, declared)
     for host in fleet.hosts:
-        faults.extend(await _trail_faults(fleet, host, generations))
+        faults.extend(await _audit_faults(fleet, host, generations))
         faults.extend(await _violations(fleet, host))
         faults.extend(logged_faults(host))
     return faults
@@ -59,7 +59,7 @@
 def went_back(
     events: Iterable[Mapping[str, Any]], generations: Mapping[str, int]
 ) -> list[str]:
-    """Name steps of an audit trail to an older or an unknown bundle.
+    """Return the steps of an audit trail to an older or unknown bundle.
 
     >>> step = {'kind': 'configuration', 'subject': 'bundle'}
     >>> went_back([{**step, 'before': 'b', 'after': 'a'}], {'a': 1, 'b': 2})
@@ -69,8 +69,8 @@
     """
     steps = [
         (
-            _order(each['before'], generations),
-            _order(each['after'], generations),
+            _bundle_order(each['before'], generations),
+            _bundle_order(each['after'], generations),
         )
         for each in events
         if each['kind'] == 'configuration' and each['subject'] == 'bundle'
@@ -82,16 +82,18 @@
     ]
 
 
-def _order(digest: str, generations: Mapping[str, int]) -> tuple[int, str]:
+def _bundle_order(
+    digest: str, generations: Mapping[str, int]
+) -> tuple[int, str]:
     return (generations.get(digest, -1) if digest else -1, digest)
 
 
-async def _trail_faults(
+async def _audit_faults(
     fleet: Fleet, host: Host, generations: Mapping[str, int]
 ) -> list[str]:
     url = f'{host.admin_url}/audit?after=0'
-    trail = await fleet.web.json('GET', url)
-    steps = went_back(trail['events'], generations)
+    audit = await fleet.web.json('GET', url)
+    steps = went_back(audit['events'], generations)
     return [f'{host.name}: bundle went back: {step}' for step in steps]
 
 
@@ -99,18 +101,18 @@
     answer = await fleet.web.fetch('GET', f'{host.admin_url}/metrics')
     return [
         f'{host.name}: {each.group()}'
-        for each in _VIOLATIONS.finditer(answer.body.decode())
+        for each in _VIOLATION_METRIC.finditer(answer.body.decode())
         if float(each.group(1))
     ]
 
 
 def logged_faults(host: Host) -> list[str]:
-    """Name faults that no handler expected, of all lives of a process."""
+    """Return unhandled faults logged by any incarnation of a process."""
     lines = host.process.log_path.read_text(errors='replace').splitlines()
     return [
         f'{host.name}: {line[:2000]}'
         for line in lines
-        if any(mark in line for mark in _LOGGED_FAULTS)
+        if any(mark in line for mark in _FAULT_MARKS)
     ]
 
 
--- a/scripts/_fleet.py
+++ b/scripts/_fleet.py
@@ -1,6 +1,6 @@
 """A fleet of separate processes on loopback, for scripts and tests.
 
-It starts stand-ins, entries and agents, and kills, freezes and drains them.
+Starts stand-ins, entries and agents, and kills, suspends and drains them.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 
 
 async def until(
-    holds: Callable[[], Awaitable[bool]],
+    condition: Callable[[], Awaitable[bool]],
     *,
     step: str,
     timeout_s: float,
 ) -> None:
-    """Poll until a condition holds.
+    """Poll until a condition is true.
 
     Raises
     ------
     FleetError
-        If it doesn't within the time.
+        If the condition is not true within the timeout.
     """
     ends_at = time.monotonic() + timeout_s
-    while not await holds():
+    while not await condition():
         if time.monotonic() > ends_at:
             raise FleetError(step, 'fleet', f'not within {timeout_s} s')
         await asyncio.sleep(_POLL_S)
@@ -63,7 +63,7 @@
         self.outsides: list[Outside] = []
         self.relay = Relay(self.pids)
         self.ports = Ports()
-        self._made: list[tuple[Outside, str]] = []
+        self._published_weights: list[tuple[Outside, str]] = []
         self.platform = self._outside(
             'platform',
             'platform',
@@ -94,21 +94,21 @@
         return [*daemons, *(each.process for each in self.outsides)]
 
     def pids(self) -> dict[str, int]:
-        """Return the ids of what runs, by name."""
+        """Return the pids of the running processes by name."""
         return {each.name: each.pid for each in self.processes if each.running}
 
     @property
     def engine_agents(self) -> list[Host]:
-        """Return the agents that stand beside an engine."""
+        """Return the agents of engines."""
         return [agent for agent in self.agents if agent.is_engine]
 
     def journals(self) -> list[Path]:
-        """Return the books of all upstreams, also of killed ones."""
+        """Return the journals of all upstreams, including killed ones."""
         paths = [each.journal_path for each in self.outsides]
         return [path for path in paths if path.exists()]
 
     async def start(self) -> None:
-        """Start everything and list the hosts with the platform."""
+        """Start all processes and add the hosts to the member list."""
         plan = self.plan
         for number in range(1, plan.entries + 1):
             self.entries.append(self._entry(number))
@@ -129,17 +129,17 @@
             await self.list_member(host)
 
     async def start_process(self, process: Process) -> None:
-        """Start a process, and the relay before it if there is one."""
+        """Start a process and, if it has one, its relay listener."""
         process.start()
         await self.relay.listen(process.name)
 
     async def restart_source(self, outside: Outside) -> None:
-        """Start a killed origin or store with the versions that it had."""
+        """Restart a killed origin or store with the versions that it had."""
         await self.start_process(outside.process)
         await self._await_answer(
             outside.process, f'{outside.url}/control/books'
         )
-        for source, path in self._made:
+        for source, path in self._published_weights:
             if source is outside:
                 await self.web.json('PUT', f'{outside.url}{path}')
 
@@ -148,17 +148,17 @@
         await self._await_answer(host.process, f'{host.admin_url}/healthz')
 
     async def list_member(self, host: Host, state: str = 'live') -> None:
-        """Put a host into the platform's member list."""
+        """Add a host to the platform's member list."""
         url = f'{self.platform.url}/control/members/{host.name}'
         await self.web.json('PUT', url, {**host.member, 'state': state})
 
     async def unlist_member(self, host: Host) -> None:
-        """Take a host out of the platform's member list."""
+        """Remove a host from the platform's member list."""
         url = f'{self.platform.url}/control/members/{host.name}'
         await self.web.json('DELETE', url)
 
     async def publish(self, bundle: bytes) -> None:
-        """Publish a bundle, as the operators would."""
+        """Publish a bundle on the platform."""
         url = f'{self.platform.url}/control/bundle'
         answer = await self.web.fetch('PUT', url, bundle)
         if answer.code != 200:
@@ -173,7 +173,7 @@
         seed: int,
         stored: bool = True,
     ) -> str:
-        """Make a version at the origin and return its manifest's digest.
+        """Create a version at the origin and return its manifest's digest.
 
         Parameters
         ----------
@@ -184,9 +184,9 @@
         path = f'/control/weights/{version}?{query}'
         sources = [self.store, self.origin] if stored else [self.origin]
         for source in sources:
-            self._made.append((source, path))
-            made = await self.web.json('PUT', f'{source.url}{path}')
-        return str(made['manifest_digest'])
+            self._published_weights.append((source, path))
+            created = await self.web.json('PUT', f'{source.url}{path}')
+        return str(created['manifest_digest'])
 
     async def fault(
         self,
@@ -202,7 +202,7 @@
         Parameters
         ----------
         count
-            How many requests it hits; None for all of them.
+            How many requests it affects; None for all of them.
         amount
             Seconds, a share or a revision; 0 for the stand-in's default.
         """
@@ -211,7 +211,7 @@
         await self.web.json('POST', url, order)
 
     async def books(self, outside: Outside) -> Any:
-        """Return the books of a stand-in that lives."""
+        """Return the request log of a running stand-in."""
         return await self.web.json('GET', f'{outside.url}/control/books')
 
     async def status(self, host: Host) -> Any:
@@ -219,7 +219,7 @@
         return await self.web.tried_json(f'{host.admin_url}/status')
 
     async def loaded(self, version: str) -> bool:
-        """Tell whether every engine's agent has loaded this version."""
+        """Return whether every engine's agent has loaded this version."""
         states = [await self.status(agent) for agent in self.engine_agents]
         loaded = {(each or {}).get('loaded_version') for each in states}
         return loaded == {version}
@@ -235,7 +235,7 @@
         return codes
 
     def close(self) -> None:
-        """End what still runs, the daemons first."""
+        """Kill all running processes, daemons first."""
         for process in self.processes:
             process.thaw()
             process.kill()
@@ -251,7 +251,7 @@
         await until(answers, step=f'start {process.name}', timeout_s=20)
 
     def _listed_port(self, name: str, own_port: int) -> int:
-        """Return the port that others are told."""
+        """Return the advertised port: the relay's if connections are relayed."""
         if not self.plan.relayed:
             return own_port
         listed_port = self.ports.free()
@@ -271,7 +271,7 @@
         *options: str,
         shared: bool = False,
     ) -> Outside:
-        """Make a stand-in; a `shared` one is called by many hosts."""
+        """Create a stand-in; a `shared` one is called by many hosts."""
         port = self.ports.free()
         listed_port = self._listed_port(name, port) if shared else port
         journal_path = self.directory / f'{name}.journal'
@@ -361,11 +361,11 @@
         member = {**member, 'rpc_port': listed_port}
         keys = ('host', 'address', 'rpc_port', 'admin_port')
         places = ('region', 'failure_domain')
-        own = {key: member[key] for key in (*keys, *places)}
+        process_section = {key: member[key] for key in (*keys, *places)}
         if role == 'entry':
-            own['http_port'] = member['http_port']
+            process_section['http_port'] = member['http_port']
         if listed_port != rpc_port:
-            own['rpc_listen_port'] = rpc_port
+            process_section['rpc_listen_port'] = rpc_port
         limits: dict[str, Any] = {'drain_s': self.plan.drain_s}
         if role == 'agent':
             limits['slots'] = self.plan.slots
@@ -374,7 +374,7 @@
         cfg = configparser.ConfigParser()
         cfg.read_dict(
             {
-                'process': {'role': role, **own},
+                'process': {'role': role, **process_section},
                 'platform': {
                     'address': self.platform.listed_address,
                     'poll_s': self.plan.poll_s,
--- a/scripts/_platform_chaos.py
+++ b/scripts/_platform_chaos.py
@@ -1,6 +1,7 @@
-"""Faults from outside the programs of a fleet: signals, links, stand-ins.
+"""Fault injection for a platform fleet: signals, links and stand-ins.
 
-Series overlap: each begins after a short pause, whatever else still lasts.
+Faults overlap: each starts after a short pause, whether or not earlier ones
+have ended.
 """
 
 from __future__ import annotations
@@ -20,30 +21,31 @@
 
     from _platform_fleet import Host, PlatformFleet
 
-PAUSE_S = (0.1, 0.8)
-SHORT_S = (0.2, 1.2)
-DOWN_S = (0.1, 1.0)
-LONGEST_DELAY_S = 0.15
-STOP_S = 9.0
-"""From SIGTERM to a complaint: what the platform gives, and a second."""
+FAULT_INTERVAL_S = (0.1, 0.8)
+FAULT_DURATION_S = (0.2, 1.2)
+DOWNTIME_S = (0.1, 1.0)
+MAX_LINK_DELAY_S = 0.15
+STOP_TIMEOUT_S = 9.0
+"""Time from SIGTERM until a process counts as stuck: the platform's grace
+period plus one second."""
 
-LEAVE_S = 3.0
-"""How long a replica that leaves goes on serving."""
+DRAIN_SERVICE_S = 3.0
+"""How long a draining replica keeps serving."""
 
 RETURN_S = 1.0
-MOST_FAULTS = 6
+MAX_FAULTS = 6
 REPLICA_FAULTS = (
     'full', 'fail', 'cut', 'lost', 'hang', 'extra', 'crossed', 'unvouched',
     'half_event', 'slow', 'rot',
 )  # fmt: skip
 STORE_FAULTS = ('down', 'busy', 'slow', 'silent', 'garbage')
 ORIGIN_FAULTS = ('down', 'corrupt', 'wrong_digest')
-SLOW_S = 0.4
+SLOW_ANSWER_S = 0.4
 
 
 @frozen
-class Trouble:
-    """A time in which a process, or all for an empty name, was disturbed."""
+class Disturbance:
+    """A period in which a process was disturbed; an empty name means all."""
 
     name: str
     began_at: float
@@ -53,19 +55,19 @@
 
 @define(eq=False)
 class PlatformChaos:
-    """Plays faults until a time, and notes whom they met."""
+    """Injects faults until a deadline and records which processes they hit."""
 
     fleet: PlatformFleet
     rng: random.Random
-    say: Callable[[str], None]
-    played: Counter[str] = field(factory=Counter)
-    troubles: list[Trouble] = field(factory=list)
+    log_line: Callable[[str], None]
+    fault_counts: Counter[str] = field(factory=Counter)
+    disturbances: list[Disturbance] = field(factory=list)
     problems: list[str] = field(factory=list)
     _busy: set[str] = field(factory=set)
 
     async def run(self, ends_at: float) -> None:
-        """Play faults; all of them are over when this returns."""
-        plays = (
+        """Inject faults; all of them have ended when this returns."""
+        injectors = (
             self._kill, self._freeze, self._restart, self._hup,
             self._delay, self._silence, self._reset, self._replica_fault,
             self._replica_fault, self._store_fault, self._origin_fault,
@@ -74,36 +76,40 @@
         )  # fmt: skip
         async with asyncio.TaskGroup() as group:
             while time.monotonic() < ends_at:
-                play = self.rng.choice(plays)
-                group.create_task(self._play(play))
-                await asyncio.sleep(self.rng.uniform(*PAUSE_S))
-
-    def met(self, name: str, began_at: float, ended_at: float) -> bool:
-        """Tell whether a process, or what all depend on, was disturbed."""
+                injector = self.rng.choice(injectors)
+                group.create_task(self._inject(injector))
+                await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL_S))
+
+    def was_disturbed(
+        self, name: str, began_at: float, ended_at: float
+    ) -> bool:
+        """Return whether a process, or a shared dependency, was disturbed."""
         return any(
-            trouble.name in {name, ''}
-            and trouble.began_at <= ended_at
-            and trouble.ended_at >= began_at
-            for trouble in self.troubles
+            disturbance.name in {name, ''}
+            and disturbance.began_at <= ended_at
+            and disturbance.ended_at >= began_at
+            for disturbance in self.disturbances
         )
 
-    def died(self, name: str, began_at: float, ended_at: float) -> bool:
-        """Tell whether a process was killed within a time."""
+    def was_killed(self, name: str, began_at: float, ended_at: float) -> bool:
+        """Return whether a process was killed within a period."""
         return any(
-            trouble.is_fatal
-            and trouble.name == name
-            and began_at <= trouble.began_at <= ended_at
-            for trouble in self.troubles
+            disturbance.is_fatal
+            and disturbance.name == name
+            and began_at <= disturbance.began_at <= ended_at
+            for disturbance in self.disturbances
         )
 
-    async def _play(self, play: Callable[[], Awaitable[str]]) -> None:
-        told = await play()
-        if told:
-            self.played[play.__name__.strip('_')] += 1
-            self.say(told)
+    async def _inject(self, injector: Callable[[], Awaitable[str]]) -> None:
+        summary = await injector()
+        if summary:
+            self.fault_counts[injector.__name__.strip('_')] += 1
+            self.log_line(summary)
 
-    def _free_host(self, *, entry: bool | None = None) -> Host | None:
-        """Draw a host at which no other signal is at work."""
+    def _choose_undisturbed_host(
+        self, *, entry: bool | None = None
+    ) -> Host | None:
+        """Choose a random host that no other signal affects."""
         hosts = [
             host
             for host in self.fleet.hosts.values()
@@ -111,51 +117,51 @@
         ]
         return self.rng.choice(hosts) if hosts else None
 
-    def _note(
+    def _record_disturbance(
         self, name: str, began_at: float, *, is_fatal: bool = False
     ) -> None:
-        self.troubles.append(
-            Trouble(name, began_at, time.monotonic(), is_fatal)
+        self.disturbances.append(
+            Disturbance(name, began_at, time.monotonic(), is_fatal)
         )
 
     async def _kill(self) -> str:
-        host = self._free_host()
+        host = self._choose_undisturbed_host()
         if host is None:
             return ''
         self._busy.add(host.name)
         began_at = time.monotonic()
-        self.troubles.append(
-            Trouble(host.name, began_at, began_at, is_fatal=True)
+        self.disturbances.append(
+            Disturbance(host.name, began_at, began_at, is_fatal=True)
         )
         host.process.kill()
-        await asyncio.sleep(self.rng.uniform(*DOWN_S))
+        await asyncio.sleep(self.rng.uniform(*DOWNTIME_S))
         host.process.start()
-        self._note(host.name, began_at)
+        self._record_disturbance(host.name, began_at)
         self._busy.discard(host.name)
         return f'killed {host.name}'
 
     async def _freeze(self) -> str:
-        host = self._free_host()
+        host = self._choose_undisturbed_host()
         if host is None:
             return ''
         self._busy.add(host.name)
         began_at = time.monotonic()
         host.process.freeze()
-        await asyncio.sleep(self.rng.uniform(*SHORT_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_S))
         host.process.thaw()
-        self._note(host.name, began_at)
+        self._record_disturbance(host.name, began_at)
         self._busy.discard(host.name)
         return f'froze {host.name}'
 
     async def _restart(self) -> str:
-        """End a process in an orderly way; nothing may be cut off."""
-        host = self._free_host()
+        """Restart a process with SIGTERM; no request may be cut off."""
+        host = self._choose_undisturbed_host()
         if host is None:
             return ''
         self._busy.add(host.name)
         host.process.terminate()
-        code = await host.process.ended(STOP_S)
-        if not host.ended_well(code):
+        code = await host.process.ended(STOP_TIMEOUT_S)
+        if not host.ended_cleanly(code):
             self.problems.append(f'{host.name} ended with {code}')
             host.process.kill()
         host.process.start()
@@ -163,75 +169,77 @@
         return f'restarted {host.name}'
 
     async def _hup(self) -> str:
-        host = self._free_host()
+        host = self._choose_undisturbed_host()
         if host is None or not host.process.running:
             return ''
         host.process.hang_up()
         return f'SIGHUP to {host.name}'
 
-    def _link(self) -> tuple[str, str]:
+    def _choose_link(self) -> tuple[str, str]:
         source = self.rng.choice(sorted(self.fleet.hosts))
         target = self.rng.choice(['store', *sorted(self.fleet.replicas)])
         return source, target
 
     async def _delay(self) -> str:
-        source, target = self._link()
+        source, target = self._choose_link()
         links = [
             self.fleet.relay.link(source, target),
             self.fleet.relay.link(target, source),
         ]
         began_at = time.monotonic()
         for link in links:
-            link.delay_s = self.rng.uniform(0, LONGEST_DELAY_S)
-        await asyncio.sleep(self.rng.uniform(*SHORT_S))
+            link.delay_s = self.rng.uniform(0, MAX_LINK_DELAY_S)
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_S))
         for link in links:
             link.delay_s = 0
-        self._note(source, began_at)
+        self._record_disturbance(source, began_at)
         return f'delayed {source} - {target}'
 
     async def _silence(self) -> str:
-        """Hold the bytes of one direction; nobody is told."""
-        ends = self._link()
+        """Hold the bytes of one direction without an error on either side."""
+        ends = self._choose_link()
         source, target = ends if self.rng.random() < 0.5 else ends[::-1]
         began_at = time.monotonic()
         self.fleet.relay.freeze(source, target)
-        await asyncio.sleep(self.rng.uniform(*SHORT_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_S))
         self.fleet.relay.thaw(source, target)
-        self._note(ends[0], began_at)
+        self._record_disturbance(ends[0], began_at)
         return f'silenced {source} > {target}'
 
     async def _reset(self) -> str:
-        source, target = self._link()
+        source, target = self._choose_link()
         pair = [frozenset((source, target))]
         began_at = time.monotonic()
         self.fleet.relay.cut(pair)
-        await asyncio.sleep(self.rng.uniform(*SHORT_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_S))
         self.fleet.relay.heal(pair)
-        self._note(source, began_at)
+        self._record_disturbance(source, began_at)
         return f'reset {source} - {target}'
 
     async def _replica_fault(self) -> str:
         name = self.rng.choice(sorted(self.fleet.replicas))
         fault = self.rng.choice(REPLICA_FAULTS)
         faults = self.fleet.replicas[name].replica.faults
-        faults.switch_on(Fault(fault, self.rng.randint(1, MOST_FAULTS), SLOW_S))
-        await asyncio.sleep(self.rng.uniform(*SHORT_S))
+        faults.switch_on(
+            Fault(fault, self.rng.randint(1, MAX_FAULTS), SLOW_ANSWER_S)
+        )
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_S))
         faults.switch_off(fault)
         return f'{fault} at {name}'
 
     async def _store_fault(self) -> str:
         fault = self.rng.choice(STORE_FAULTS)
         began_at = time.monotonic()
-        self.fleet.store.faults.switch_on(Fault(fault, None, SLOW_S))
-        await asyncio.sleep(self.rng.uniform(*SHORT_S))
+        self.fleet.store.faults.switch_on(Fault(fault, None, SLOW_ANSWER_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_S))
         self.fleet.store.faults.switch_off(fault)
-        self._note('', began_at)
+        self._record_disturbance('', began_at)
         return f'store {fault}'
 
     async def _origin_fault(self) -> str:
         fault = self.rng.choice(ORIGIN_FAULTS)
         self.fleet.origin.faults.switch_on(Fault(fault))
-        await asyncio.sleep(self.rng.uniform(*SHORT_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_S))
         self.fleet.origin.faults.switch_off(fault)
         return f'origin {fault}'
 
@@ -239,7 +247,7 @@
         self.fleet.store.compact()
         return 'store forgot its history'
 
-    def _free_replica(self) -> str:
+    def _choose_undisturbed_replica(self) -> str:
         names = [
             name
             for name in sorted(self.fleet.replicas)
@@ -248,33 +256,33 @@
         return self.rng.choice(names) if names else ''
 
     async def _leave(self) -> str:
-        """Let a replica say that it leaves, serve on for a while, and go."""
-        name = self._free_replica()
+        """Drain a replica, keep it serving for a while, then replace it."""
+        name = self._choose_undisturbed_replica()
         if not name:
             return ''
         self._busy.add(name)
         self.fleet.list_replica(name, 'draining')
-        await asyncio.sleep(LEAVE_S)
+        await asyncio.sleep(DRAIN_SERVICE_S)
         await self.fleet.replace(name)
         self._busy.discard(name)
         return f'{name} left, and another came'
 
     async def _crash(self) -> str:
-        """End a replica at once; its record lapses later."""
-        name = self._free_replica()
+        """End a replica at once; its record is removed later."""
+        name = self._choose_undisturbed_replica()
         if not name:
             return ''
         self._busy.add(name)
-        await self.fleet.crash(name, self.rng.uniform(*DOWN_S))
+        await self.fleet.crash(name, self.rng.uniform(*DOWNTIME_S))
         self._busy.discard(name)
         return f'{name} crashed, and another came'
 
     async def _version(self) -> str:
-        self.fleet.name_version()
+        self.fleet.announce_version()
         return f'named version {self.fleet.version}'
 
     async def _keys(self) -> str:
-        """Add a key; callers use it once it has to be known."""
+        """Publish a new key; callers use it once every process must know it."""
         self.fleet.keys.append(f'key-{len(self.fleet.keys)}')
         self.fleet.publish()
         return f'configuration {self.fleet.config_version}'
--- a/scripts/_platform_checks.py
+++ b/scripts/_platform_checks.py
@@ -1,4 +1,4 @@
-"""What a soak of the fleet on its users' platform holds its programs to."""
+"""Checks on the results of a platform soak run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,12 @@
 from typing import TYPE_CHECKING, Any
 
 from _platform_fleet import CONFIG_S, DRAIN_S, STAND_INS, VERSION_S
-from _platform_load import BLAMES, DEADLINE_S, NOT_RUN, Asked
+from _platform_load import (
+    CALLER_ERROR_STATUSES,
+    DEADLINE_S,
+    NOT_RUN_STATUSES,
+    RequestResult,
+)
 from attrs import define, field
 
 from crowrudder_core.transfer import chunks_of, indices
@@ -24,149 +29,163 @@
     from collections.abc import Collection, Iterable
 
     from _platform_chaos import PlatformChaos
-    from _platform_fleet import Life, PlatformFleet
+    from _platform_fleet import PlatformFleet, ReplicaIncarnation
 
-IN_TOUCH_S = 3.0
-"""A process counts as undisturbed so long after a fault at it ended."""
+RECOVERY_S = 3.0
+"""Time after the end of a fault until a process counts as undisturbed."""
 
-MARGIN_S = 0.7
-"""The least by which an answer must be late to be called so: what a busy
-machine may need to wake this process."""
+LATE_MARGIN_S = 0.7
+"""Tolerance before an answer counts as late: a busy machine may need this long
+to wake this process."""
 
-LEFT_MARGIN_S = 0.5
+DRAIN_MARGIN_S = 0.5
 
-NEAR_S = 1.0
-"""Runs that begin on an old version so long before its end are counted."""
+END_WINDOW_S = 1.0
+"""Runs that begin on an old version within this time before its end are
+counted."""
 
 
 @define
 class Verdict:
-    """Counts of what came, and a line on each broken promise."""
+    """Counts of outcomes, and a line for each violation, by check."""
 
     outcomes: Counter[str] = field(factory=Counter)
-    broken: dict[str, list[str]] = field(factory=lambda: defaultdict(list))
+    violations: dict[str, list[str]] = field(factory=lambda: defaultdict(list))
     ends: Counter[str] = field(factory=Counter)
-    """What the checks on ends of versions had before them."""
+    """Counts of the cases that the checks on version ends covered."""
 
-    def note(self, promise: str, text: str) -> None:
-        """Note a broken promise."""
-        self.broken[promise].append(text)
+    def add_violation(self, check: str, text: str) -> None:
+        """Record a violation of a check."""
+        self.violations[check].append(text)
 
 
-def judge(
-    asked: Collection[Asked], fleet: PlatformFleet, chaos: PlatformChaos
+def check_run(
+    results: Collection[RequestResult],
+    fleet: PlatformFleet,
+    chaos: PlatformChaos,
 ) -> Verdict:
-    """Hold what callers got against the replicas' books."""
+    """Compare the callers' results with the replicas' request logs."""
     verdict = Verdict()
     runs = _runs(fleet)
-    entries = {each.request_id: each.entry for each in asked}
-    for each in asked:
+    entries = {each.request_id: each.entry for each in results}
+    for each in results:
         verdict.outcomes[_outcome(each)] += 1
-        _judge_answer(each, verdict, chaos)
-        _judge_runs(each, len(runs[each.request_id]), verdict)
-    for life in fleet.all_lives():
-        _judge_life(life, fleet, chaos, verdict)
-        for run in life.replica.runs:
+        _check_answer(each, verdict, chaos)
+        _check_runs(each, len(runs[each.request_id]), verdict)
+    for incarnation in fleet.all_incarnations():
+        _check_incarnation(incarnation, fleet, chaos, verdict)
+        for run in incarnation.replica.runs:
             sender = entries.get(run.request_id, '')
-            met_by = {sender, fleet.agent_of(life)}
-            _judge_end(run, life, met_by, fleet, chaos, verdict)
-        verdict.ends.update(life.replica.places.seen)
+            responsible = {sender, fleet.agent_of(incarnation)}
+            _check_version_end(
+                run, incarnation, responsible, fleet, chaos, verdict
+            )
+        verdict.ends.update(incarnation.replica.places.seen)
     return verdict
 
 
 def _runs(fleet: PlatformFleet) -> dict[str, list[FleetReplica]]:
     found: dict[str, list[FleetReplica]] = defaultdict(list)
-    for life in fleet.all_lives():
-        for run in life.replica.runs:
-            found[run.request_id].append(life.replica)
+    for incarnation in fleet.all_incarnations():
+        for run in incarnation.replica.runs:
+            found[run.request_id].append(incarnation.replica)
     return found
 
 
-def _outcome(each: Asked) -> str:
-    if each.left:
+def _outcome(each: RequestResult) -> str:
+    if each.caller_left:
         return 'left'
-    if each.refused:
+    if each.connect_failed:
         return 'no connection'
     if not each.is_whole:
         return 'cut' if each.status else 'no answer'
     return str(each.status)
 
 
-def _judge_answer(each: Asked, verdict: Verdict, chaos: PlatformChaos) -> None:
+def _check_answer(
+    each: RequestResult, verdict: Verdict, chaos: PlatformChaos
+) -> None:
     text = f'{each.request_id} {each.kind.path} at {each.entry}: '
-    if each.left or each.refused:
+    if each.caller_left or each.connect_failed:
         return
-    is_disturbed = chaos.met(
-        each.entry, each.began_at - IN_TOUCH_S, each.ended_at
+    is_disturbed = chaos.was_disturbed(
+        each.entry, each.began_at - RECOVERY_S, each.ended_at
     )
     if not each.is_whole:
-        if not each.kind.is_stream and not chaos.died(
+        if not each.kind.is_stream and not chaos.was_killed(
             each.entry, each.began_at - 1, each.ended_at
         ):
-            verdict.note('unanswered', f'{text}{each.status} {each.reason}')
+            verdict.add_violation(
+                'unanswered', f'{text}{each.status} {each.reason}'
+            )
         return
     if each.status == 200:
-        _judge_body(each, text, verdict)
-    if each.status in BLAMES:
-        verdict.note('blamed', f'{text}{each.status} {each.body!r}')
-    if each.status in NOT_RUN and not each.retry_after:
-        verdict.note('no time to come back', f'{text}{each.status}')
+        _check_body(each, text, verdict)
+    if each.status in CALLER_ERROR_STATUSES:
+        verdict.add_violation('blamed', f'{text}{each.status} {each.body!r}')
+    if each.status in NOT_RUN_STATUSES and not each.retry_after:
+        verdict.add_violation('no time to come back', f'{text}{each.status}')
     took_s = each.ended_at - each.began_at
-    if took_s > DEADLINE_S + MARGIN_S and not is_disturbed:
-        verdict.note('late', f'{text}{took_s:.2f} s')
+    if took_s > DEADLINE_S + LATE_MARGIN_S and not is_disturbed:
+        verdict.add_violation('late', f'{text}{took_s:.2f} s')
 
 
-def _judge_body(each: Asked, text: str, verdict: Verdict) -> None:
-    make = stream_of if each.kind.is_stream else body_of
-    if each.body != make(each.request_id):
-        verdict.note('not whole', f'{text}{each.body[:60]!r}')
+def _check_body(each: RequestResult, text: str, verdict: Verdict) -> None:
+    expected_body = stream_of if each.kind.is_stream else body_of
+    if each.body != expected_body(each.request_id):
+        verdict.add_violation('not whole', f'{text}{each.body[:60]!r}')
     if not each.has_seal:
-        verdict.note('nobody vouches', text)
+        verdict.add_violation('nobody vouches', text)
     if each.echoed != each.request_id:
-        verdict.note('crossed', f'{text}{each.echoed}')
+        verdict.add_violation('crossed', f'{text}{each.echoed}')
 
 
-def _judge_runs(each: Asked, runs: int, verdict: Verdict) -> None:
+def _check_runs(each: RequestResult, runs: int, verdict: Verdict) -> None:
     text = f'{each.request_id} {each.kind.path} at {each.entry}: {runs} runs'
     if each.kind.is_once and runs > 1:
-        verdict.note('doubled', text)
-    is_refused = each.is_whole and each.status in NOT_RUN
+        verdict.add_violation('doubled', text)
+    is_refused = each.is_whole and each.status in NOT_RUN_STATUSES
     if each.kind.is_once and is_refused and runs:
-        verdict.note('not run but ran', f'{text}, {each.status}')
+        verdict.add_violation('not run but ran', f'{text}, {each.status}')
     if each.is_whole and each.status == 200 and not runs:
-        verdict.note('made up', text)
+        verdict.add_violation('made up', text)
 
 
-def _judge_life(
-    life: Life, fleet: PlatformFleet, chaos: PlatformChaos, verdict: Verdict
+def _check_incarnation(
+    incarnation: ReplicaIncarnation,
+    fleet: PlatformFleet,
+    chaos: PlatformChaos,
+    verdict: Verdict,
 ) -> None:
     for pieces, order in zip(
-        life.replica.taken, life.replica.orders, strict=False
+        incarnation.replica.taken, incarnation.replica.orders, strict=False
     ):
         version = int(order['version'])
         for index in _pieces_of(order, fleet.origin.count):
             if pieces.get(index) != fleet.origin.piece(version, index):
-                verdict.note(
+                verdict.add_violation(
                     'partial weights',
-                    f'{life.replica.id} version {version} piece {index}',
+                    f'{incarnation.replica.id} version {version} piece {index}',
                 )
-    for path in life.replica.paths:
-        if _layers_run(path) != list(range(LAYERS)):
-            verdict.note('layers not once', f'{life.replica.id} path {path}')
-    for run in life.replica.runs:
-        _judge_leaving(life, run.began_at, chaos, verdict)
+    for pipeline in incarnation.replica.paths:
+        if _layers_run(pipeline) != list(range(LAYERS)):
+            verdict.add_violation(
+                'layers not once', f'{incarnation.replica.id} path {pipeline}'
+            )
+    for run in incarnation.replica.runs:
+        _check_draining(incarnation, run.began_at, chaos, verdict)
 
 
 def _pieces_of(order: dict[str, Any], count: int) -> Iterable[int]:
-    """Give the pieces that an order takes: those of its layers."""
+    """Return the pieces that an order loads: those of its layers."""
     layers = LayerRange(order.get('from', 0), order.get('target', LAYERS))
     return indices(chunks_of(layers, layers=LAYERS, chunks=count))
 
 
-def _layers_run(path: str) -> list[int]:
-    """Give the layers that a path runs, in its order."""
+def _layers_run(pipeline: str) -> list[int]:
+    """Return the layers that a pipeline runs, in order."""
     ranges = [
-        part.rpartition('=')[2].partition('-') for part in path.split(',')
+        part.rpartition('=')[2].partition('-') for part in pipeline.split(',')
     ]
     return [
         layer
@@ -175,75 +194,84 @@
     ]
 
 
-def _judge_leaving(
-    life: Life, began_at: float, chaos: PlatformChaos, verdict: Verdict
+def _check_draining(
+    incarnation: ReplicaIncarnation,
+    began_at: float,
+    chaos: PlatformChaos,
+    verdict: Verdict,
 ) -> None:
-    """Check a run's beginning against leaving.
+    """Check that no run begins at a replica after it has drained.
 
-    Only where nothing at all was disturbed shortly before: who saw the
-    replica leave isn't in its books.
+    Checked only if nothing at all was disturbed shortly before: a replica's
+    request log doesn't show which entries saw it drain.
     """
-    if life.left_at is None:
+    if incarnation.draining_since is None:
         return
-    due_at = life.left_at + DRAIN_S + LEFT_MARGIN_S
-    if began_at > due_at and not _any_trouble(chaos, due_at - DRAIN_S):
-        verdict.note(
+    drained_at = incarnation.draining_since + DRAIN_S + DRAIN_MARGIN_S
+    if began_at > drained_at and not _any_disturbance(
+        chaos, drained_at - DRAIN_S
+    ):
+        verdict.add_violation(
             'sent to one that left',
-            f'{life.replica.id} {began_at - life.left_at:.2f} s after',
+            f'{incarnation.replica.id} {began_at - incarnation.draining_since:.2f} s after',
         )
 
 
-def _judge_end(
+def _check_version_end(
     run: Run,
-    life: Life,
-    met_by: set[str],
+    incarnation: ReplicaIncarnation,
+    responsible: set[str],
     fleet: PlatformFleet,
     chaos: PlatformChaos,
     verdict: Verdict,
 ) -> None:
-    """Check when a run began against the end of its version, to the instant.
+    """Check that a run began before the end of its version.
 
-    The end is the aim itself, without a margin: naming, the end and the run's
-    beginning, out of the queue, are read from one clock in one process, and
-    what needs time on the way has to be done before the end. Excused where
-    the entry that sent it or the engine's agent was disturbed, or what all
-    depend on, and where the engines' process stood still near the end.
+    There is no tolerance: the announcement, the end and the moment at which
+    the run left the queue are read from one clock in one process, and any
+    delay on the way must be allowed for before the end. A late run is excused
+    if the entry that sent it, the engine's agent or a shared dependency was
+    disturbed, or if the engines' process was suspended near the end.
     """
-    newer = [version for version in fleet.named_at if 0 < run.weights < version]
+    newer = [
+        version for version in fleet.announced_at if 0 < run.weights < version
+    ]
     if not newer:
         return
-    version = min(newer, key=fleet.named_at.__getitem__)
-    named_at = fleet.named_at[version]
-    late_s = run.began_at - named_at - VERSION_S
+    version = min(newer, key=fleet.announced_at.__getitem__)
+    announced_at = fleet.announced_at[version]
+    late_s = run.began_at - announced_at - VERSION_S
     if late_s <= 0:
-        verdict.ends['began in the last second'] += late_s > -NEAR_S
+        verdict.ends['began in the last second'] += late_s > -END_WINDOW_S
         return
-    since = named_at - IN_TOUCH_S
-    is_met = any(chaos.met(name, since, run.began_at) for name in met_by)
-    near = named_at + VERSION_S - NEAR_S
-    if is_met or chaos.met(STAND_INS, near, run.began_at):
+    since = announced_at - RECOVERY_S
+    is_excused = any(
+        chaos.was_disturbed(name, since, run.began_at) for name in responsible
+    )
+    window_start = announced_at + VERSION_S - END_WINDOW_S
+    if is_excused or chaos.was_disturbed(STAND_INS, window_start, run.began_at):
         verdict.ends['late, excused'] += 1
         return
-    verdict.note(
+    verdict.add_violation(
         'old weights',
-        f'{run.request_id} at {life.replica.id} on {run.weights} '
+        f'{run.request_id} at {incarnation.replica.id} on {run.weights} '
         f'{late_s:.3f} s after its end, {version} being named',
     )
 
 
-def _any_trouble(chaos: PlatformChaos, since: float) -> bool:
+def _any_disturbance(chaos: PlatformChaos, since: float) -> bool:
     return any(
-        trouble.ended_at >= since - IN_TOUCH_S
-        for trouble in chaos.troubles
-        if trouble.name != STAND_INS
+        disturbance.ended_at >= since - RECOVERY_S
+        for disturbance in chaos.disturbances
+        if disturbance.name != STAND_INS
     )
 
 
-def key_for(fleet: PlatformFleet, published_at: list[float]) -> str:
-    """Give the newest key that every process has to know by now."""
-    due = [
+def newest_known_key(fleet: PlatformFleet, published_at: list[float]) -> str:
+    """Return the newest key that every process must know by now."""
+    due_keys = [
         number
         for number, at in enumerate(published_at)
-        if time.monotonic() - at > CONFIG_S + IN_TOUCH_S
+        if time.monotonic() - at > CONFIG_S + RECOVERY_S
     ]
-    return fleet.keys[due[-1]] if due else fleet.keys[0]
+    return fleet.keys[due_keys[-1]] if due_keys else fleet.keys[0]
--- a/scripts/_platform_config.py
+++ b/scripts/_platform_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a fleet on its users' platform, small and large."""
+"""Small and large configurations of a platform fleet."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 HOST = 'shop.example'
 CHUNKS = 8
 WARM_S = 0.05
-MORE_ROUTES = 1400
-"""What a large configuration has more, as the users' had: 250 KB and more."""
+EXTRA_ROUTES = 1400
+"""Additional routes of a large configuration: over 250 KB, as the users have."""
 
 ENGINE = {
     'slots': 8,
@@ -26,10 +26,10 @@
 def configuration(
     version: int, origin: str, keys: list[str], *, is_large: bool
 ) -> dict[str, Any]:
-    """Give a configuration as it is published."""
+    """Return a configuration as it is published."""
     return {
         'version': version,
-        'routes': _routes() + (_more_routes() if is_large else []),
+        'routes': _routes() + (_extra_routes() if is_large else []),
         'services': [
             {'name': 'plain', 'max_conns': 500},
             {'name': 'llm', 'max_conns': 500, 'engine': ENGINE},
@@ -50,10 +50,10 @@
     ]
 
 
-def _more_routes() -> list[dict[str, Any]]:
+def _extra_routes() -> list[dict[str, Any]]:
     return [
         _route(f'more-{number}', 'safe', service='plain')
-        for number in range(MORE_ROUTES)
+        for number in range(EXTRA_ROUTES)
     ]
 
 
--- a/scripts/_platform_fleet.py
+++ b/scripts/_platform_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet on its users' platform: stand-ins here, programs as processes.
+"""A platform fleet: stand-ins in this process, programs as child processes.
 
-Store, origin and replicas run in this process, so that their books are at
-hand; entries and agents are the deployed programs. Connections to store and
-replicas go through relays that others of this folder use as well.
+Store, origin and replicas run in this process, so that their request logs can
+be read directly; entries and agents are the deployed programs. Connections to
+store, origin and replicas go through a relay.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     from pathlib import Path
 
 STAND_INS = 'stand-ins'
-"""This process, where store, origin and replicas run."""
+"""Name of this process, in which store, origin and replicas run."""
 
 ZONES = {'z1': 'r1', 'z2': 'r1', 'z3': 'r2'}
 STORE_IP = '127.0.0.1'
@@ -40,8 +40,8 @@
 DRAIN_S = 2.0
 CONFIG_S = 2.0
 GRACE_S = 8.0
-PLACES = ((8, 0), (8, 8), (2, 8), (1, 4))
-"""Slots and queues that are drawn for engines."""
+SLOTS_AND_QUEUES = ((8, 0), (8, 8), (2, 8), (1, 4))
+"""Slots and queue lengths, one pair of which is chosen for each engine."""
 
 
 @frozen
@@ -64,11 +64,11 @@
     process: Process
     replica: str = ''
 
-    def ended_well(self, code: int | None) -> bool:
-        """Whether an end after SIGTERM was an orderly one.
+    def ended_cleanly(self, code: int | None) -> bool:
+        """Return whether a process ended cleanly after SIGTERM.
 
-        A process that is told to end before it has begun to serve has nothing
-        to finish, and its interpreter may not have got to its handlers.
+        A process that receives SIGTERM before it serves has no request to
+        finish, and may not have installed its signal handlers yet.
         """
         if code == -signal.SIGTERM:
             return not self.process.has_logged('"serving"')
@@ -76,26 +76,26 @@
 
     @property
     def is_entry(self) -> bool:
-        """Whether callers reach it."""
+        """Whether callers connect to this host."""
         return self.role == 'entry'
 
 
 @define(eq=False)
-class Life:
-    """One life of a replica: its books, and when it was said to leave."""
+class ReplicaIncarnation:
+    """One incarnation of a replica, and when it began to drain."""
 
     replica: FleetReplica
     service: str
     address: str
     zone: str
     server: Any
-    left_at: float | None = None
+    draining_since: float | None = None
     is_listed: bool = True
 
 
 @define(eq=False)
 class PlatformFleet:
-    """Starts everything, publishes, and ends what it started."""
+    """Starts and stops stand-ins and programs, and publishes records."""
 
     plan: Plan
     folder: Path
@@ -104,10 +104,10 @@
     store: FleetStore = field(factory=FleetStore)
     origin: FleetOrigin = field(factory=lambda: FleetOrigin({'--model': 'm'}))
     hosts: dict[str, Host] = field(factory=dict)
-    lives: list[Life] = field(factory=list)
-    replicas: dict[str, Life] = field(factory=dict)
+    past_incarnations: list[ReplicaIncarnation] = field(factory=list)
+    replicas: dict[str, ReplicaIncarnation] = field(factory=dict)
     keys: list[str] = field(factory=lambda: ['key-0'])
-    named_at: dict[int, float] = field(factory=dict)
+    announced_at: dict[int, float] = field(factory=dict)
     version: int = 1
     config_version: int = 0
     is_large: bool = False
@@ -116,13 +116,13 @@
     _ports: dict[str, tuple[int, int]] = field(factory=dict)
     _addresses: dict[str, str] = field(factory=dict)
     _peer_port: int = 0
-    _life_number: int = 0
+    _incarnation_number: int = 0
 
     def __attrs_post_init__(self) -> None:
         self.relay = Relay(self.pids)
 
     def pids(self) -> dict[str, int]:
-        """Give the running processes by name, and this one's."""
+        """Return the pids of the running processes and of this one, by name."""
         found = {
             name: host.process.pid
             for name, host in self.hosts.items()
@@ -156,7 +156,7 @@
             host.process.start()
 
     def publish(self) -> None:
-        """Publish the configuration, with the keys as they are."""
+        """Publish the next configuration with the current keys."""
         self.config_version += 1
         body = configuration(
             self.config_version,
@@ -166,62 +166,66 @@
         )
         self.store.put('op/config', json.dumps(body).encode())
 
-    def name_version(self) -> None:
-        """Name the next version of the weights."""
+    def announce_version(self) -> None:
+        """Announce the next version of the weights."""
         self.version += 1
         self.origin.newest = self.version
-        self.named_at[self.version] = time.monotonic()
+        self.announced_at[self.version] = time.monotonic()
         named = {'model': 'm', 'version': self.version}
         self.store.put('op/version/m', json.dumps(named).encode())
 
     def list_replica(self, name: str, state: str = 'ready') -> None:
         """Write a replica's record."""
-        life = self.replicas[name]
-        replica = life.replica
-        entry = replica.entry(life.service, life.address, life.zone, state)
+        incarnation = self.replicas[name]
+        replica = incarnation.replica
+        entry = replica.entry(
+            incarnation.service, incarnation.address, incarnation.zone, state
+        )
         self.store.put(f'servers/{replica.id}', json.dumps(entry).encode())
         if state != 'ready':
-            life.left_at = time.monotonic()
+            incarnation.draining_since = time.monotonic()
 
     def unlist(self, name: str) -> None:
-        """Take a replica's record away."""
-        life = self.replicas[name]
-        life.is_listed = False
-        life.left_at = life.left_at or time.monotonic()
-        self.store.remove(f'servers/{life.replica.id}')
+        """Remove a replica's record."""
+        incarnation = self.replicas[name]
+        incarnation.is_listed = False
+        incarnation.draining_since = (
+            incarnation.draining_since or time.monotonic()
+        )
+        self.store.remove(f'servers/{incarnation.replica.id}')
 
     async def replace(self, name: str) -> None:
-        """End a replica's life; another begins at its address, with nothing."""
+        """Replace a replica by an empty new incarnation at the same address."""
         before = self.replicas[name]
         if before.is_listed:
             self.unlist(name)
         before.server.stop()
         self.relay.reset(name)
-        self.lives.append(before)
+        self.past_incarnations.append(before)
         ip = before.address.rpartition(':')[0]
         replica = self._replica(name, before.service)
         _, own = self._ports[name]
         server = application(replica).listen(own, ip)
-        self.replicas[name] = Life(
+        self.replicas[name] = ReplicaIncarnation(
             replica, before.service, before.address, before.zone, server
         )
         self.list_replica(name)
 
     async def crash(self, name: str, away_s: float) -> None:
-        """End a replica at once; its next life begins a while later."""
+        """End a replica at once and start a new incarnation after a delay."""
         self.relay.close(name)
         self.relay.reset(name)
         await asyncio.sleep(away_s)
         await self.replace(name)
         await self.relay.listen(name)
 
-    def all_lives(self) -> list[Life]:
-        """List the replicas of now and those before."""
-        return [*self.lives, *self.replicas.values()]
+    def all_incarnations(self) -> list[ReplicaIncarnation]:
+        """Return all past and current replica incarnations."""
+        return [*self.past_incarnations, *self.replicas.values()]
 
-    def agent_of(self, life: Life) -> str:
-        """Name the agent beside a replica; empty for a plain one."""
-        replica = life.replica.id.partition('.')[0]
+    def agent_of(self, incarnation: ReplicaIncarnation) -> str:
+        """Return the name of a replica's agent; empty for a plain replica."""
+        replica = incarnation.replica.id.partition('.')[0]
         return next(
             (
                 host.name
@@ -232,7 +236,7 @@
         )
 
     def entries(self) -> dict[str, str]:
-        """Give the callers' addresses of entries by name."""
+        """Return the addresses that callers use, by entry name."""
         return {
             host.name: host.listen['front']
             for host in self.hosts.values()
@@ -240,22 +244,26 @@
         }
 
     def close(self) -> None:
-        """End what was started."""
+        """Stop everything that was started."""
         for host in self.hosts.values():
             host.process.thaw()
             if host.process.running:
                 host.process.kill()
         self.relay.close_all()
-        for life in self.replicas.values():
-            life.server.stop()
+        for incarnation in self.replicas.values():
+            incarnation.server.stop()
 
     def _replica(self, name: str, service: str) -> FleetReplica:
-        self._life_number += 1
+        self._incarnation_number += 1
         is_engine = service == 'llm'
-        slots, queue = self.queue_rng.choice(PLACES) if is_engine else PLACES[0]
+        slots, queue = (
+            self.queue_rng.choice(SLOTS_AND_QUEUES)
+            if is_engine
+            else SLOTS_AND_QUEUES[0]
+        )
         replica = FleetReplica(
             {
-                '--id': f'{name}.{self._life_number}',
+                '--id': f'{name}.{self._incarnation_number}',
                 '--slots': slots,
                 '--queue': queue,
                 '--model': 'm' if is_engine else '',
@@ -282,7 +290,7 @@
         self.relay.add(name, ip, listed_port=listed, own_port=own)
         await self.relay.listen(name)
         zone = zone_of(number)
-        self.replicas[name] = Life(
+        self.replicas[name] = ReplicaIncarnation(
             replica, service, f'{ip}:{listed}', zone, server
         )
         self.list_replica(name)
@@ -332,12 +340,12 @@
 
 
 def zone_of(number: int) -> str:
-    """Spread hosts over the zones."""
+    """Return the zone of a host; zones are assigned round-robin."""
     return list(ZONES)[number % len(ZONES)]
 
 
 def free_port(ip: str, rng: random.Random) -> int:
-    """Give a port that nobody listens on."""
+    """Return a port that nobody listens on."""
     while True:
         port = rng.randrange(20_000, 32_000)
         with socket.socket() as probe:
@@ -346,7 +354,7 @@
 
 
 def free_range(count: int, rng: random.Random) -> int:
-    """Give the first of some ports in a row that nobody listens on."""
+    """Return the first of `count` consecutive unused ports."""
     while True:
         first = rng.randrange(12_000, 19_000)
         if all(_is_free(first + number) for number in range(count)):
--- a/scripts/_platform_load.py
+++ b/scripts/_platform_load.py
@@ -1,4 +1,4 @@
-"""Callers of a fleet on its users' platform, and what they found wrong."""
+"""Callers of a platform fleet, and the results of their requests."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     from collections.abc import Callable
 
 DEADLINE_S = 4.0
-PATIENCE_S = DEADLINE_S + 1.5
-"""The longest that a caller waits; an answer is due at its deadline."""
+ANSWER_TIMEOUT_S = DEADLINE_S + 1.5
+"""How long a caller waits at most; an answer is due at its deadline."""
 
-CONNECT_S = 1.0
-SHARE_LEAVES = 0.05
-LEAVES_WITHIN_S = 0.2
-PAUSE_S = (0.0, 0.06)
-CONN_PAUSE_S = 0.1
-NOT_RUN = frozenset((408, 421, 429, 503))
-BLAMES = frozenset((400, 401, 403, 404, 413, 431))
+CONNECT_TIMEOUT_S = 1.0
+DISCONNECT_SHARE = 0.05
+DISCONNECT_WITHIN_S = 0.2
+REQUEST_INTERVAL_S = (0.0, 0.06)
+RECONNECT_DELAY_S = 0.1
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+CALLER_ERROR_STATUSES = frozenset((400, 401, 403, 404, 413, 431))
 
 
 @frozen
-class Kind:
-    """A route of the fleet as its callers see it."""
+class RouteKind:
+    """A route of the fleet as callers see it."""
 
     path: str
     method: str
@@ -46,20 +46,20 @@
     is_stream: bool
 
 
-KINDS = (
-    Kind('/read/x', 'GET', is_once=False, is_stream=False),
-    Kind('/notice/x', 'POST', is_once=True, is_stream=False),
-    Kind('/draft/x', 'POST', is_once=False, is_stream=True),
-    Kind('/once/x', 'POST', is_once=True, is_stream=True),
+ROUTE_KINDS = (
+    RouteKind('/read/x', 'GET', is_once=False, is_stream=False),
+    RouteKind('/notice/x', 'POST', is_once=True, is_stream=False),
+    RouteKind('/draft/x', 'POST', is_once=False, is_stream=True),
+    RouteKind('/once/x', 'POST', is_once=True, is_stream=True),
 )
 
 
 @define
-class Asked:
-    """A request and what came of it; ``status`` 0 where no head came."""
+class RequestResult:
+    """A request and its result; ``status`` is 0 if no head was received."""
 
     request_id: str
-    kind: Kind
+    kind: RouteKind
     entry: str
     began_at: float
     ended_at: float = 0
@@ -69,61 +69,61 @@
     has_seal: bool = False
     echoed: str = ''
     reason: str = ''
-    left: bool = False
-    refused: bool = False
+    caller_left: bool = False
+    connect_failed: bool = False
     retry_after: str = ''
 
 
 @define(eq=False)
 class Caller:
-    """Sends one request after the other, on a connection that it keeps.
+    """Sends requests one after another on a persistent connection.
 
-    It keeps to an entry until its connection there ends, as callers do that
-    were told of the entry a while ago.
+    It stays with an entry until the connection ends, like a caller that
+    resolved the entry's address some time ago.
     """
 
     rng: random.Random
     entries: Callable[[], dict[str, str]]
     key: Callable[[], str]
-    kinds: tuple[Kind, ...] = KINDS
+    route_kinds: tuple[RouteKind, ...] = ROUTE_KINDS
     body: bytes = b'body'
-    asked: list[Asked] = field(factory=list)
+    results: list[RequestResult] = field(factory=list)
     _conn: HttpConnection | None = None
     _entry: str = ''
-    _kept_until: float = 0
+    _entry_until: float = 0
 
     async def run(self, ends_at: float, name: str) -> None:
-        """Send requests until a time."""
+        """Send requests until a deadline."""
         number = 0
         while time.monotonic() < ends_at:
             number += 1
-            await self.ask(f'{name}-{number}')
-            await asyncio.sleep(self.rng.uniform(*PAUSE_S))
+            await self.send_request(f'{name}-{number}')
+            await asyncio.sleep(self.rng.uniform(*REQUEST_INTERVAL_S))
         self.close()
 
-    async def ask(self, request_id: str) -> Asked:
+    async def send_request(self, request_id: str) -> RequestResult:
         """Send one request and read its answer."""
-        kind = self.rng.choice(self.kinds)
-        leaves = self.rng.random() < SHARE_LEAVES
-        found = Asked(request_id, kind, self._entry, time.monotonic())
-        wait_s = PATIENCE_S
-        if leaves:
-            wait_s = self.rng.uniform(0, LEAVES_WITHIN_S)
+        kind = self.rng.choice(self.route_kinds)
+        disconnects = self.rng.random() < DISCONNECT_SHARE
+        result = RequestResult(request_id, kind, self._entry, time.monotonic())
+        wait_s = ANSWER_TIMEOUT_S
+        if disconnects:
+            wait_s = self.rng.uniform(0, DISCONNECT_WITHIN_S)
         try:
             async with asyncio.timeout(wait_s):
-                await self._exchange(found)
+                await self._exchange(result)
         except NotConnectedError as exc:
-            found.refused = True
-            found.reason = str(exc)
+            result.connect_failed = True
+            result.reason = str(exc)
             self.close()
-            await asyncio.sleep(CONN_PAUSE_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
         except (BrokenAnswerError, TimeoutError) as exc:
-            found.reason = str(exc) or 'no answer in time'
-            found.left = leaves
+            result.reason = str(exc) or 'no answer in time'
+            result.caller_left = disconnects
             self.close()
-        found.ended_at = time.monotonic()
-        self.asked.append(found)
-        return found
+        result.ended_at = time.monotonic()
+        self.results.append(result)
+        return result
 
     def close(self) -> None:
         """Close the connection."""
@@ -131,25 +131,25 @@
             self._conn.close()
         self._conn = None
 
-    async def _exchange(self, found: Asked) -> None:
+    async def _exchange(self, result: RequestResult) -> None:
         conn = await self._connection()
-        found.entry = self._entry
-        conn.send(self._request(found))
+        result.entry = self._entry
+        conn.send(self._request(result))
         head = await conn.head()
-        found.status = head.status
-        found.echoed = head.header(REQUEST_ID.lower())
-        found.has_seal = bool(head.header(SEAL.lower()))
-        found.retry_after = head.header('retry-after')
+        result.status = head.status
+        result.echoed = head.header(REQUEST_ID.lower())
+        result.has_seal = bool(head.header(SEAL.lower()))
+        result.retry_after = head.header('retry-after')
         parts: list[bytes] = []
         while (part := await conn.part()) is not None:
             parts.append(part)
-            found.body = b''.join(parts)
-        found.is_whole = True
-        self._keep(conn, head)
+            result.body = b''.join(parts)
+        result.is_whole = True
+        self._close_unless_reusable(conn, head)
 
     async def _connection(self) -> HttpConnection:
         conn = self._conn
-        is_kept = time.monotonic() < self._kept_until
+        is_kept = time.monotonic() < self._entry_until
         if conn is not None and conn.is_open and is_kept:
             return conn
         self.close()
@@ -157,7 +157,7 @@
         self._entry = self.rng.choice(sorted(entries))
         ip, _, port = entries[self._entry].rpartition(':')
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, conn = await asyncio.get_running_loop().create_connection(
                     lambda: HttpConnection(f'{ip}:{port}'), ip, int(port)
                 )
@@ -168,27 +168,29 @@
                 peer=self._entry,
             ) from exc
         self._conn = conn
-        self._kept_until = time.monotonic() + DEADLINE_S
+        self._entry_until = time.monotonic() + DEADLINE_S
         return conn
 
-    def _keep(self, conn: HttpConnection, head: WireHead) -> None:
+    def _close_unless_reusable(
+        self, conn: HttpConnection, head: WireHead
+    ) -> None:
         kept_s = kept_s_of(head.headers)
         if not conn.finish() or kept_s == 0:
             self.close()
 
-    def _request(self, found: Asked) -> WireRequest:
+    def _request(self, result: RequestResult) -> WireRequest:
         headers = {
             'Host': HOST,
-            REQUEST_ID: found.request_id,
+            REQUEST_ID: result.request_id,
             'X-Credential': self.key(),
             'X-Deadline-Ms': str(int(DEADLINE_S * 1000)),
         }
-        if found.kind.is_stream:
+        if result.kind.is_stream:
             headers |= {'X-Model': 'm', 'X-Token-Count': '100,6'}
-        body = self.body if found.kind.method == 'POST' else b''
+        body = self.body if result.kind.method == 'POST' else b''
         return WireRequest(
-            method=found.kind.method,
-            target=found.kind.path,
+            method=result.kind.method,
+            target=result.kind.path,
             headers=tuple(headers.items()),
             body=body,
         )
--- a/scripts/_platform_seeds.py
+++ b/scripts/_platform_seeds.py
@@ -1,18 +1,18 @@
-"""Seeds of the platform's soak that failed once, each with its cause."""
+"""Platform soak seeds that failed before, each with its cause."""
 
 from __future__ import annotations
 
-FAILED_ONCE = {
+REGRESSION_SEEDS = {
     3: (
-        'the origin gave one wrong digest to all hosts for a second; the '
-        'manifest was believed for good'
+        'the origin sent the same wrong digest to all hosts for a second; '
+        'the manifest was trusted permanently'
     ),
     2: (
-        'the stand-in of a crashed replica answered on over connections that '
-        'were open; its end now breaks them'
+        'the stand-in of a crashed replica kept answering on open '
+        'connections; its end now closes them'
     ),
     10: (
-        'SIGTERM met an interpreter that had not got to its handlers; allowed '
-        'where the log shows that the process did not serve yet'
+        'SIGTERM arrived before the signal handlers were installed; allowed '
+        'if the log shows that the process did not serve yet'
     ),
 }
--- a/scripts/_process.py
+++ b/scripts/_process.py
@@ -1,4 +1,4 @@
-"""Processes that a run starts, and the ports that they listen on."""
+"""Child processes of a run and the ports that they listen on."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 LOOPBACK = '127.0.0.1'
 
 
-# Below the ports that the system gives to outgoing connections.
-_PORTS = (12000, 32000)
+# Below the ephemeral ports that the system uses for outgoing connections.
+_PORT_RANGE = (12000, 32000)
 
 
 _TAIL_LINES = 30
 
 
 class FleetError(Exception):
-    """A step of the fleet that failed, with the process at which it did."""
+    """A step of the fleet failed; names the step and the process."""
 
     def __init__(self, step: str, peer: str, reason: str) -> None:
         super().__init__(f'{step}: {peer}: {reason}')
@@ -44,13 +44,13 @@
     log_path: Path
     environment: dict[str, str] = field(factory=dict)
     _child: subprocess.Popen[bytes] | None = None
-    _life_from: int = 0
+    _log_offset: int = 0
 
     def start(self) -> None:
-        """Start it; the log of an earlier life is kept."""
+        """Start it; the log of an earlier incarnation is kept."""
         log: IO[bytes]
         if self.log_path.exists():
-            self._life_from = self.log_path.stat().st_size
+            self._log_offset = self.log_path.stat().st_size
         with self.log_path.open('ab') as log:
             self._child = subprocess.Popen(
                 self.arguments,
@@ -67,7 +67,7 @@
 
     @property
     def pid(self) -> int:
-        """The id of the child process; 0 where it wasn't started."""
+        """The id of the child process; 0 if it was not started."""
         return 0 if self._child is None else self._child.pid
 
     @property
@@ -82,23 +82,23 @@
             self._child.wait()
 
     def freeze(self) -> None:
-        """Pause it as a whole, until `thaw`."""
+        """Suspend the process until `thaw`."""
         self._signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Resume the process."""
         self._signal(signal.SIGCONT)
 
     def hang_up(self) -> None:
-        """Tell it that its settings may have changed."""
+        """Send SIGHUP: the settings may have changed."""
         self._signal(signal.SIGHUP)
 
     def terminate(self) -> None:
-        """Ask it to drain and end."""
+        """Send SIGTERM, so that it drains and ends."""
         self._signal(signal.SIGTERM)
 
     async def ended(self, timeout_s: float) -> int | None:
-        """Wait for the end; None if it didn't come in time."""
+        """Wait for the exit code; None on a timeout."""
         if self._child is None:
             return None
         try:
@@ -107,9 +107,9 @@
             return None
 
     def has_logged(self, text: str) -> bool:
-        """Whether its present or last life has logged something."""
+        """Return whether its latest incarnation has logged a text."""
         with self.log_path.open('rb') as log:
-            log.seek(self._life_from)
+            log.seek(self._log_offset)
             return text.encode() in log.read()
 
     def tail(self) -> str:
@@ -128,7 +128,7 @@
 class Outside:
     """A stand-in: its process, address and journal of runs.
 
-    The daemons are told the `listed_address`.
+    Daemons connect to the `listed_address`.
     """
 
     process: Process
@@ -138,7 +138,7 @@
 
     @property
     def url(self) -> str:
-        """Where it answers."""
+        """The base URL at which it answers."""
         return f'http://{self.address}'
 
 
@@ -157,7 +157,7 @@
 
     @property
     def admin_url(self) -> str:
-        """Where its status and health are read."""
+        """The base URL of its status and health."""
         return f'http://{LOOPBACK}:{self.member["admin_port"]}'
 
     @property
@@ -167,9 +167,9 @@
 
 
 def end_on_signal(number: signal.Signals) -> None:
-    """Let a signal cancel the running task, so that it ends its processes.
+    """Cancel the current task on a signal, so that it ends its processes.
 
-    The default action would leave the child processes behind for good.
+    The default action would leave the child processes running.
     """
     task = asyncio.current_task()
     if task is not None:
@@ -183,20 +183,20 @@
 
 @define
 class Ports:
-    """Ports for listeners, each given out once."""
+    """Allocator of listener ports, each returned once."""
 
-    _given: set[int] = field(factory=set)
+    _used: set[int] = field(factory=set)
     _rng: random.Random = field(factory=lambda: random.Random(os.getpid()))
 
     def free(self) -> int:
         """Return a port that nobody listens on."""
         while True:
-            port = self._rng.randrange(*_PORTS)
+            port = self._rng.randrange(*_PORT_RANGE)
             with socket.socket() as probe:
                 if (
-                    port in self._given
+                    port in self._used
                     or probe.connect_ex((LOOPBACK, port)) == 0
                 ):
                     continue
-            self._given.add(port)
+            self._used.add(port)
             return port
--- a/scripts/_relay.py
+++ b/scripts/_relay.py
@@ -1,8 +1,8 @@
-"""Links between processes that can be cut, frozen, slowed and healed.
+"""TCP relay whose links can be cut, paused, delayed and restored.
 
-Every target listens on its own port, and the relay on the port that others
-are told. Whose connection came in follows from the system's table of sockets,
-so that one port of a target serves links to all of its peers.
+Every target listens on its own port, and the relay on the advertised port. The
+process that opened a connection is found in the system's socket tables, so that
+one port of a target serves the links to all of its peers.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator, Mapping
 
-_PIECE_BYTES = 65_536
-# Some libraries call IPv4 addresses from sockets of IPv6.
+_READ_BYTES = 65_536
+# Some libraries connect to IPv4 addresses from IPv6 sockets.
 _TABLES = (Path('/proc/net/tcp'), Path('/proc/net/tcp6'))
 _LOCAL, _INODE = 1, 9
 
 
 def owners_of(ports: Iterable[int], pids: Mapping[str, int]) -> dict[int, str]:
-    """Name the processes whose outgoing connections have these local ports.
+    """Return the names of the processes that own these local ports.
 
-    A port that none of them has is left out.
+    A port that none of them owns is omitted.
     """
-    by_mark = {f':{port:04X}': port for port in ports}
+    port_by_suffix = {f':{port:04X}': port for port in ports}
     sockets = {}
     lines = [
         line for table in _TABLES for line in table.read_text().splitlines()
     ]
     for row in map(str.split, lines):
-        port = by_mark.get(row[_LOCAL][-len(':0000') :])
+        port = port_by_suffix.get(row[_LOCAL][-len(':0000') :])
         if port is not None:
             sockets[f'socket:[{row[_INODE]}]'] = port
     owners: dict[int, str] = {}
     for name, pid in pids.items():
-        for opened in _opened(pid):
-            if opened in sockets:
-                owners[sockets.pop(opened)] = name
+        for open_file in _open_files(pid):
+            if open_file in sockets:
+                owners[sockets.pop(open_file)] = name
         if not sockets:
             break
     return owners
 
 
-def _opened(pid: int) -> Iterator[str]:
-    # A process may end, and a file be closed, while they are listed.
+def _open_files(pid: int) -> Iterator[str]:
+    # A process may end or close a file during the listing.
     with contextlib.suppress(OSError):
         for each in os.listdir(f'/proc/{pid}/fd'):
             with contextlib.suppress(OSError):
@@ -57,11 +57,11 @@
 
 
 @define(eq=False)
-class _Callers:
-    """Tells who opened a connection.
+class _ConnectionOwners:
+    """Finds the process that opened a connection.
 
-    The system's tables are slow to read, so that one reading serves all the
-    connections that came in during the last one.
+    The system's socket tables are slow to read, so one read serves all the
+    connections that arrived during the previous read.
     """
 
     _pids: Callable[[], Mapping[str, int]]
@@ -69,12 +69,12 @@
     _reading: asyncio.Task[None] | None = None
 
     async def name(self, port: int) -> str:
-        """Name the process with this outgoing port, or nothing."""
-        named = asyncio.get_running_loop().create_future()
-        self._waiting[port] = named
+        """Return the process that owns this outgoing port; empty for none."""
+        owner = asyncio.get_running_loop().create_future()
+        self._waiting[port] = owner
         if self._reading is None or self._reading.done():
             self._reading = asyncio.create_task(self._read())
-        return await named
+        return await owner
 
     async def _read(self) -> None:
         while self._waiting:
@@ -82,25 +82,25 @@
             owners = await asyncio.to_thread(
                 owners_of, list(waiting), self._pids()
             )
-            for port, named in waiting.items():
-                if not named.done():
-                    named.set_result(owners.get(port, ''))
+            for port, owner in waiting.items():
+                if not owner.done():
+                    owner.set_result(owners.get(port, ''))
 
 
 @define(eq=False)
 class Link:
-    """Bytes from one process to another, whoever opened the connection."""
+    """One direction between two processes, whichever opened the connection."""
 
     delay_s: float = 0
-    passes: asyncio.Event = field(factory=asyncio.Event)
+    unpaused: asyncio.Event = field(factory=asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        self.passes.set()
+        self.unpaused.set()
 
 
 @define(eq=False)
-class _Joined:
-    """Two sockets that belong together, between two processes."""
+class _ConnectionPair:
+    """The two sockets of one relayed connection between two processes."""
 
     pair: frozenset[str]
     writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]
@@ -112,7 +112,7 @@
 
 @define(eq=False)
 class _Target:
-    """A process behind the relay: where it listens, and where others call."""
+    """A process behind the relay, with its own and its advertised port."""
 
     address: str
     listed_port: int
@@ -122,35 +122,35 @@
 
 @define(eq=False)
 class Relay:
-    """The links between named processes.
+    """The links between processes.
 
     Parameters
     ----------
     pids
-        Gives the running processes by name.
+        Returns the pids of the running processes by name.
     """
 
     _pids: Callable[[], Mapping[str, int]]
-    _callers: _Callers = field(init=False)
+    _owners: _ConnectionOwners = field(init=False)
     _targets: dict[str, _Target] = field(factory=dict)
     _links: dict[tuple[str, str], Link] = field(factory=dict)
     _cuts: list[frozenset[str]] = field(factory=list)
-    _joined: set[_Joined] = field(factory=set)
+    _connections: set[_ConnectionPair] = field(factory=set)
     _jobs: set[asyncio.Task[None]] = field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        self._callers = _Callers(self._pids)
+        self._owners = _ConnectionOwners(self._pids)
 
     def add(
         self, name: str, address: str, *, listed_port: int, own_port: int
     ) -> None:
-        """Stand before a process; `listen` opens the port."""
+        """Register a process behind the relay; `listen` opens the port."""
         self._targets[name] = _Target(address, listed_port, own_port)
 
     async def listen(self, name: str) -> None:
         """Accept connections for a process that has started.
 
-        One that the relay doesn't stand before is left alone.
+        Does nothing for a process that is not registered.
         """
         target = self._targets.get(name)
         if target is None or target.server is not None:
@@ -168,44 +168,44 @@
         )
 
     def close(self, name: str) -> None:
-        """Refuse connections, as the port of an ended process does."""
+        """Refuse connections, like the port of an ended process."""
         target = self._targets.get(name)
         if target is not None and target.server is not None:
             target.server.close()
             target.server = None
 
     def reset(self, name: str) -> None:
-        """Break all connections to a process, as its end does."""
-        for joined in list(self._joined):
-            if name in joined.pair:
-                joined.abort()
+        """Abort all connections of a process, as its end would."""
+        for connection in list(self._connections):
+            if name in connection.pair:
+                connection.abort()
 
     def close_all(self) -> None:
-        """End all links."""
+        """Close all listeners and cancel all connections."""
         for name in self._targets:
             self.close(name)
         for job in self._jobs:
             job.cancel()
 
     def link(self, source: str, target: str) -> Link:
-        """Give the bytes from one process to another."""
+        """Return the link from one process to another."""
         return self._links.setdefault((source, target), Link())
 
     def freeze(self, source: str, target: str) -> None:
-        """Hold all bytes in one direction; nobody is told."""
-        self.link(source, target).passes.clear()
+        """Hold all bytes of one direction without closing connections."""
+        self.link(source, target).unpaused.clear()
 
     def thaw(self, source: str, target: str) -> None:
-        """Let the held bytes go on."""
-        self.link(source, target).passes.set()
+        """Release the held bytes."""
+        self.link(source, target).unpaused.set()
 
     def cut(self, pairs: Iterable[frozenset[str]]) -> None:
-        """Break the connections of pairs and close each new one at once."""
+        """Abort the connections of pairs, and each new one at once."""
         broken = list(pairs)
         self._cuts.extend(broken)
-        for joined in list(self._joined):
-            if joined.pair in broken:
-                joined.abort()
+        for connection in list(self._connections):
+            if connection.pair in broken:
+                connection.abort()
 
     def heal(self, pairs: Iterable[frozenset[str]]) -> None:
         """Undo one `cut` of the same pairs."""
@@ -219,43 +219,43 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         port = writer.get_extra_info('peername')[1]
-        caller = await self._callers.name(port)
+        caller = await self._owners.name(port)
         pair = frozenset((caller, name))
         if not caller or pair in self._cuts:
             writer.transport.abort()
             return
         target = self._targets[name]
         try:
-            onward, back = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 target.address, target.own_port
             )
         except OSError:
             writer.transport.abort()
             return
-        joined = _Joined(pair, (writer, back))
-        self._joined.add(joined)
+        connection = _ConnectionPair(pair, (writer, target_writer))
+        self._connections.add(connection)
         try:
             await asyncio.gather(
-                _pump(reader, back, self.link(caller, name)),
-                _pump(onward, writer, self.link(name, caller)),
+                _pump(reader, target_writer, self.link(caller, name)),
+                _pump(target_reader, writer, self.link(name, caller)),
             )
         except OSError:
-            # A reset on one side has to be one on the other.
+            # A reset on one side must be passed on to the other.
             pass
         finally:
-            self._joined.discard(joined)
-            joined.abort()
+            self._connections.discard(connection)
+            connection.abort()
 
 
 async def _pump(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link: Link
 ) -> None:
-    """Copy one direction up to its end."""
-    while piece := await reader.read(_PIECE_BYTES):
-        await link.passes.wait()
+    """Copy one direction until end of file."""
+    while data := await reader.read(_READ_BYTES):
+        await link.unpaused.wait()
         await asyncio.sleep(link.delay_s)
-        writer.write(piece)
+        writer.write(data)
         await writer.drain()
-    await link.passes.wait()
+    await link.unpaused.wait()
     if writer.can_write_eof():
         writer.write_eof()
--- a/scripts/platform_soak.py
+++ b/scripts/platform_soak.py
@@ -27,26 +27,26 @@
 from pathlib import Path
 
 from _platform_chaos import PlatformChaos
-from _platform_checks import Verdict, judge, key_for
-from _platform_ends import Ends
+from _platform_checks import Verdict, check_run, newest_known_key
+from _platform_ends import VersionEnds
+from _platform_fatals_limits import FatalsAndLimits, check_fatals_and_limits
 from _platform_fleet import VERSION_S, Plan, PlatformFleet
 from _platform_load import Caller
-from _platform_needs import Needs, judge_needs
-from _platform_seeds import FAILED_ONCE
+from _platform_seeds import REGRESSION_SEEDS
 from _process import end_on_signal
 from attrs import define, field
 from docopt import docopt
 
 CALLERS = 12
-START_S = 30.0
-SETTLE_S = 20.0
-LAST_REQUESTS = 40
-STOP_S = 9.0
-LOOK_S = 0.1
+START_TIMEOUT_S = 30.0
+SETTLE_TIMEOUT_S = 20.0
+PROBE_REQUESTS = 40
+STOP_TIMEOUT_S = 9.0
+POLL_S = 0.1
 
 
-def plan_of(rng: random.Random, *, is_large: bool) -> Plan:
-    """Draw the size of the fleet."""
+def choose_plan(rng: random.Random, *, is_large: bool) -> Plan:
+    """Choose a random fleet size."""
     if is_large:
         return Plan(entries=rng.randint(9, 12), agents=16, plains=4)
     return Plan(entries=rng.randint(2, 4), agents=rng.randint(3, 5), plains=2)
@@ -54,97 +54,103 @@
 
 @define(eq=False)
 class PlatformSoak:
-    """One run: its fleet, callers and faults."""
+    """One soak run: its fleet, callers and faults."""
 
     fleet: PlatformFleet
     rng: random.Random
-    ends_rng: random.Random
-    needs_rng: random.Random
+    version_ends_rng: random.Random
+    fatals_rng: random.Random
     duration_s: float
     callers: list[Caller] = field(factory=list)
     _began_at: float = field(factory=time.monotonic)
-    _keys_at: list[float] = field(factory=list)
+    _keys_published_at: list[float] = field(factory=list)
 
     async def run(self) -> Verdict:
-        """Run it all and judge it."""
+        """Run load and faults, and check the results."""
         await self.fleet.start()
-        chaos = PlatformChaos(self.fleet, self._child(), self.say)
+        chaos = PlatformChaos(self.fleet, self._child_rng(), self.log_line)
         self.callers = [
-            Caller(self._child(), self.fleet.entries, self._key)
+            Caller(self._child_rng(), self.fleet.entries, self._key)
             for _ in range(CALLERS)
         ]
-        needs = Needs(self.fleet, self.needs_rng, self._key, self.say)
-        problems = await self._settle('start', START_S)
+        fatals_and_limits = FatalsAndLimits(
+            self.fleet, self.fatals_rng, self._key, self.log_line
+        )
+        problems = await self._settle('start', START_TIMEOUT_S)
         if not problems:
             ends_at = time.monotonic() + self.duration_s
             await asyncio.gather(
                 chaos.run(ends_at),
                 self._watch_keys(ends_at),
-                Ends(self.fleet, self.ends_rng, chaos, self.say).run(ends_at),
-                needs.run(ends_at),
+                VersionEnds(
+                    self.fleet, self.version_ends_rng, chaos, self.log_line
+                ).run(ends_at),
+                fatals_and_limits.run(ends_at),
                 *(
                     caller.run(ends_at, f'c{number}')
                     for number, caller in enumerate(self.callers)
                 ),
             )
-            problems = await self._settle('after the faults', SETTLE_S)
+            problems = await self._settle('after the faults', SETTLE_TIMEOUT_S)
             problems += await self._stop()
-        asked = [each for caller in self.callers for each in caller.asked]
-        verdict = judge(asked, self.fleet, chaos)
-        judge_needs(needs, asked, self.fleet, chaos, verdict)
+        results = [each for caller in self.callers for each in caller.results]
+        verdict = check_run(results, self.fleet, chaos)
+        check_fatals_and_limits(
+            fatals_and_limits, results, self.fleet, chaos, verdict
+        )
         problems += chaos.problems
         for problem in problems:
-            verdict.note('state', problem)
-        self.say(f'faults: {dict(chaos.played)}')
+            verdict.add_violation('state', problem)
+        self.log_line(f'faults: {dict(chaos.fault_counts)}')
         return verdict
 
-    def say(self, line: str) -> None:
+    def log_line(self, line: str) -> None:
         """Print a line with the time since the start."""
         print(f'{time.monotonic() - self._began_at:7.2f} {line}', flush=True)
 
-    def _child(self) -> random.Random:
+    def _child_rng(self) -> random.Random:
         return random.Random(self.rng.getrandbits(32))
 
     def _key(self) -> str:
-        return key_for(self.fleet, self._keys_at)
+        return newest_known_key(self.fleet, self._keys_published_at)
 
     async def _watch_keys(self, ends_at: float) -> None:
-        """Note when keys were published; they are used a while later."""
+        """Record when keys were published; callers use them some time later."""
         while time.monotonic() < ends_at:
-            while len(self._keys_at) < len(self.fleet.keys):
-                self._keys_at.append(time.monotonic())
-            await asyncio.sleep(LOOK_S)
+            while len(self._keys_published_at) < len(self.fleet.keys):
+                self._keys_published_at.append(time.monotonic())
+            await asyncio.sleep(POLL_S)
 
     async def _settle(self, step: str, within_s: float) -> list[str]:
-        """Wait until every entry serves, and all engines have the version."""
+        """Wait until all processes run and all engines have the version; probe."""
         ends_at = time.monotonic() + within_s
-        missing = self._missing()
-        while missing and time.monotonic() < ends_at:
-            await asyncio.sleep(LOOK_S)
-            missing = self._missing()
-        if missing:
-            return [f'{step}: {missing}']
-        caller = Caller(self._child(), self.fleet.entries, self._key)
+        unsettled = self._unsettled()
+        while unsettled and time.monotonic() < ends_at:
+            await asyncio.sleep(POLL_S)
+            unsettled = self._unsettled()
+        if unsettled:
+            return [f'{step}: {unsettled}']
+        caller = Caller(self._child_rng(), self.fleet.entries, self._key)
         self.callers.append(caller)
         await asyncio.sleep(VERSION_S)
-        asked = [
-            await caller.ask(f'{step}-{number}'.replace(' ', '-'))
-            for number in range(LAST_REQUESTS)
+        results = [
+            await caller.send_request(f'{step}-{number}'.replace(' ', '-'))
+            for number in range(PROBE_REQUESTS)
         ]
         caller.close()
         return [
             f'{step}: {each.request_id} at {each.entry}: {each.status} '
             f'{each.reason}'
-            for each in asked
-            if each.status != 200 and not each.left
+            for each in results
+            if each.status != 200 and not each.caller_left
         ]
 
-    def _missing(self) -> str:
+    def _unsettled(self) -> str:
         behind = [
-            f'{life.replica.id} has {life.replica.weights}'
-            for life in self.fleet.replicas.values()
-            if life.service == 'llm'
-            and life.replica.weights < self.fleet.version
+            f'{incarnation.replica.id} has {incarnation.replica.weights}'
+            for incarnation in self.fleet.replicas.values()
+            if incarnation.service == 'llm'
+            and incarnation.replica.weights < self.fleet.version
         ]
         ended = [
             host.name
@@ -154,56 +160,62 @@
         return ', '.join(behind + ended)
 
     async def _stop(self) -> list[str]:
-        """End all processes in an orderly way."""
+        """Stop all processes with SIGTERM."""
         hosts = list(self.fleet.hosts.values())
         for each in hosts:
             each.process.terminate()
         codes = await asyncio.gather(
-            *(host.process.ended(STOP_S) for host in hosts)
+            *(host.process.ended(STOP_TIMEOUT_S) for host in hosts)
         )
         return [
             f'{host.name} ended with {code}'
             for host, code in zip(hosts, codes, strict=True)
-            if not host.ended_well(code)
+            if not host.ended_cleanly(code)
         ]
 
 
 async def run_seed(seed: int, options: dict[str, str]) -> bool:
-    """Run one seed; true when no promise was broken."""
+    """Run one seed; return whether no check was violated."""
     rng = random.Random(seed)
-    plan = plan_of(rng, is_large=bool(options['--large']))
+    plan = choose_plan(rng, is_large=bool(options['--large']))
     with tempfile.TemporaryDirectory(prefix='crowrudder-') as name:
-        ends_rng = random.Random(f'ends of {seed}')
+        version_ends_rng = random.Random(f'ends of {seed}')
         queue_rng = random.Random(f'queues of {seed}')
         fleet = PlatformFleet(plan, Path(name), rng, queue_rng)
-        needs_rng = random.Random(f'needs of {seed}')
+        fatals_rng = random.Random(f'needs of {seed}')
         soak = PlatformSoak(
-            fleet, rng, ends_rng, needs_rng, float(options['--duration'])
+            fleet,
+            rng,
+            version_ends_rng,
+            fatals_rng,
+            float(options['--duration']),
         )
-        soak.say(f'seed {seed}: {plan}')
+        soak.log_line(f'seed {seed}: {plan}')
         try:
             verdict = await soak.run()
         finally:
             fleet.close()
         _report(seed, verdict)
-        if verdict.broken and options['--logs']:
-            kept = Path(options['--logs']) / f'seed-{seed}'
-            shutil.copytree(name, kept, dirs_exist_ok=True)
-    return not verdict.broken
+        if verdict.violations and options['--logs']:
+            log_copy = Path(options['--logs']) / f'seed-{seed}'
+            shutil.copytree(name, log_copy, dirs_exist_ok=True)
+    return not verdict.violations
 
 
 def _report(seed: int, verdict: Verdict) -> None:
-    for name, found in verdict.broken.items():
+    for name, found in verdict.violations.items():
         for line in found:
             print(f'broken: {name}: {line}')
     counts = ' '.join(
-        f'{promise.replace(" ", "_")}={len(lines)}'
-        for promise, lines in verdict.broken.items()
+        f'{check.replace(" ", "_")}={len(lines)}'
+        for check, lines in verdict.violations.items()
     )
-    told = dict(verdict.outcomes.most_common())
+    answers = dict(verdict.outcomes.most_common())
     ends = dict(verdict.ends)
-    state = 'failed' if verdict.broken else 'ok'
-    print(f'platform soak: {state} seed={seed} {counts} answers={told} {ends=}')
+    state = 'failed' if verdict.violations else 'ok'
+    print(
+        f'platform soak: {state} seed={seed} {counts} answers={answers} {ends=}'
+    )
 
 
 async def main() -> int:
@@ -214,7 +226,7 @@
     seeds = range(first, first + int(options['--seeds']))
     failed = []
     with contextlib.suppress(KeyboardInterrupt):
-        for seed in FAILED_ONCE if options['--known'] else seeds:
+        for seed in REGRESSION_SEEDS if options['--known'] else seeds:
             if not await run_seed(seed, options):
                 failed.append(seed)
     if failed:
--- a/scripts/what_binds.py
+++ b/scripts/what_binds.py
@@ -23,24 +23,30 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from _binds_lines import AT_FORMAT, read_lines
-from _binds_tables import STAGES, Fate, Window, versions_of, windows_of
+from _binds_lines import TIME_FORMAT, parse_lines
+from _binds_tables import (
+    MILESTONES,
+    RequestOutcome,
+    Window,
+    versions_of,
+    windows_of,
+)
 from docopt import docopt
 
 if TYPE_CHECKING:
-    from _binds_tables import VersionStory
+    from _binds_tables import VersionTimeline
 
-MOST_REASONS = 12
+MAX_REASONS = 12
 
 
 def main() -> int:
-    """Print the tables, and draw the plot that was asked for."""
+    """Print the tables and draw the plot if requested."""
     options = docopt(__doc__ or '')
     lines = sorted(
         (
             line
             for name in options['LOG']
-            for line in read_lines(
+            for line in parse_lines(
                 Path(name).read_text(errors='replace').splitlines()
             )
         ),
@@ -51,15 +57,15 @@
         return 1
     zero = lines[0].at
     if options['--zero']:
-        zero = datetime.strptime(options['--zero'], AT_FORMAT).timestamp()
+        zero = datetime.strptime(options['--zero'], TIME_FORMAT).timestamp()
     width_s = float(options['--width'])
     windows = windows_of(lines, zero=zero, width_s=width_s)
     if not options['--by-route']:
         windows = _all_routes(windows)
     _show_windows(windows, width_s)
     _show_reasons(windows)
-    for name, story in versions_of(lines, zero=zero).items():
-        _show_version(name, story)
+    for name, timeline in versions_of(lines, zero=zero).items():
+        _show_version(name, timeline)
     if options['--plot']:
         draw = importlib.import_module('_binds_plot').draw
         draw(windows, width_s, options['--plot'])
@@ -69,45 +75,52 @@
 def _all_routes(
     windows: dict[tuple[int, str], Window],
 ) -> dict[tuple[int, str], Window]:
-    """Add up the routes of each window."""
+    """Sum each window's counts over all routes."""
     found: dict[tuple[int, str], Window] = {}
     for (number, _), window in windows.items():
-        whole = found.setdefault((number, ''), Window())
-        whole.fates.update(window.fates)
-        whole.reasons.update(window.reasons)
+        combined = found.setdefault((number, ''), Window())
+        combined.outcomes.update(window.outcomes)
+        combined.reasons.update(window.reasons)
     return found
 
 
 def _show_windows(
     windows: dict[tuple[int, str], Window], width_s: float
 ) -> None:
-    head = ''.join(f'{fate.value:>12}' for fate in Fate)
+    head = ''.join(
+        f'{request_outcome.value:>12}' for request_outcome in RequestOutcome
+    )
     print(f'{"from s":>8}{"asked":>7}{head}  route')
     for (number, route), window in sorted(windows.items()):
-        counts = ''.join(f'{window.fates[fate]:>12}' for fate in Fate)
-        asked = window.fates.total()
+        counts = ''.join(
+            f'{window.outcomes[request_outcome]:>12}'
+            for request_outcome in RequestOutcome
+        )
+        asked = window.outcomes.total()
         print(f'{number * width_s:>8.1f}{asked:>7}{counts}  {route}')
 
 
 def _show_reasons(windows: dict[tuple[int, str], Window]) -> None:
-    whole: Counter[str] = Counter()
+    combined: Counter[str] = Counter()
     for window in windows.values():
-        whole.update(window.reasons)
+        combined.update(window.reasons)
     print('\nwhy, most often first (figures are left out)')
-    for reason, count in whole.most_common(MOST_REASONS):
+    for reason, count in combined.most_common(MAX_REASONS):
         print(f'{count:>7}  {reason}')
 
 
-def _show_version(name: str, story: VersionStory) -> None:
-    print(f'\n{name}, known from {story.named_at:.2f} s on')
-    head = ''.join(f'{stage:>12}' for stage in STAGES.values())
+def _show_version(name: str, timeline: VersionTimeline) -> None:
+    print(f'\n{name}, known from {timeline.announced_at:.2f} s on')
+    head = ''.join(f'{milestone:>12}' for milestone in MILESTONES.values())
     print(f'{"host":<24}{head}')
-    for host, moments in sorted(
-        story.hosts.items(), key=lambda each: max(each[1].values())
+    for host, milestones in sorted(
+        timeline.hosts.items(), key=lambda each: max(each[1].values())
     ):
         row = ''.join(
-            f'{moments[stage]:>12.2f}' if stage in moments else f'{"-":>12}'
-            for stage in STAGES.values()
+            f'{milestones[milestone]:>12.2f}'
+            if milestone in milestones
+            else f'{"-":>12}'
+            for milestone in MILESTONES.values()
         )
         print(f'{host:<24}{row}')
 
--- a/tests/scripts/test_books.py
+++ b/tests/scripts/test_books.py
@@ -63,13 +63,13 @@
         books = books_of(tmp_path, run_record(), run_record(resume_from=2))
         assert compare(books, [WHOLE]).doubled == 0
 
-    def test_second_start_of_what_may_not_repeat(self, tmp_path):
+    def test_second_start_of_non_idempotent_request(self, tmp_path):
         books = books_of(tmp_path, run_record(), run_record())
         repeatable = evolve(WHOLE, request=evolve(REQUEST, idempotent=True))
         assert compare(books, [WHOLE]).doubled == 1
         assert compare(books, [repeatable]).doubled == 0
 
-    def test_mixed_run_that_was_answered(self, tmp_path):
+    def test_answered_run_with_mixed_versions(self, tmp_path):
         mixed = run_record('finished', versions=('v1', 'v2'))
         books = books_of(tmp_path, run_record(), mixed)
         assert compare(books, [WHOLE]).mixed == 1
@@ -82,7 +82,7 @@
         assert compare(books, [NOT_RUN]).not_run_but_ran == 1
         assert compare(books, [NOT_RUN, BROKEN]).not_run_but_ran == 0
 
-    def test_broken_connection_needs_an_excuse(self, tmp_path):
+    def test_broken_connection_is_unanswered_unless_excused(self, tmp_path):
         books = books_of(tmp_path)
         cut = evolve(BROKEN, status=200, flaw=Flaw.CUT)
         assert compare(books, [BROKEN]).unanswered == 1
--- a/tests/scripts/test_platform_ends.py
+++ b/tests/scripts/test_platform_ends.py
@@ -1,4 +1,4 @@
-"""What the platform's soak draws about ends of versions."""
+"""Version ends in the platform soak."""
 
 from __future__ import annotations
 
@@ -10,11 +10,17 @@
 import _platform_ends
 import pytest
 from _platform_chaos import PlatformChaos
-from _platform_config import MORE_ROUTES, configuration
-from _platform_ends import Ends
-from _platform_fleet import PLACES, STAND_INS, Life, Plan, PlatformFleet
+from _platform_config import EXTRA_ROUTES, configuration
+from _platform_ends import VersionEnds
+from _platform_fleet import (
+    SLOTS_AND_QUEUES,
+    STAND_INS,
+    Plan,
+    PlatformFleet,
+    ReplicaIncarnation,
+)
 from crowrudder_platform._records import decode_record
-from platform_soak import plan_of
+from platform_soak import choose_plan
 from tornado.httpserver import HTTPServer
 from tornado.testing import bind_unused_port
 
@@ -31,27 +37,29 @@
 
 @pytest.fixture(name='fleet')
 def make_fleet(tmp_path, monkeypatch):
-    """Give a fleet's stand-ins: a plain replica and two engines."""
+    """Return a fleet's stand-ins: a plain replica and two engines."""
     plan = Plan(entries=0, agents=2, plains=1)
     fleet = PlatformFleet(plan, tmp_path, random.Random(1), random.Random(2))
     fleet._addresses['origin'] = '127.0.0.1:1'
     for name in ('plain-0', 'engine-0', 'engine-1'):
         service = 'llm' if name.startswith('engine') else 'plain'
         replica = fleet._replica(name, service)
-        fleet.replicas[name] = Life(replica, service, '', 'z1', None)
+        fleet.replicas[name] = ReplicaIncarnation(
+            replica, service, '', 'z1', None
+        )
     monkeypatch.setattr(_platform_ends, 'VERSION_S', WINDOW_S)
     monkeypatch.setattr(_platform_ends, 'NAMED_AFTER_S', (0.0, 0.0))
     return fleet
 
 
-def ends_of(fleet, seed=1):
-    said: list[str] = []
-    chaos = PlatformChaos(fleet, random.Random(1), said.append)
-    return Ends(fleet, random.Random(seed), chaos, said.append)
+def make_version_ends(fleet, seed=1):
+    logged_lines: list[str] = []
+    chaos = PlatformChaos(fleet, random.Random(1), logged_lines.append)
+    return VersionEnds(fleet, random.Random(seed), chaos, logged_lines.append)
 
 
 def published(fleet):
-    """Give the routes of each configuration in the store's history."""
+    """Return the route count of each configuration in the store's history."""
     return [
         len(json.loads(each.value)['routes'])
         for each in fleet.store.history
@@ -59,14 +67,14 @@
     ]
 
 
-def hold(fleet, name, version):
+def set_loaded_version(fleet, name, version):
     replica = fleet.replicas[name].replica
     replica.weights = version
     replica.layers = (0, 16)
 
 
 class TestConfigurations:
-    def test_a_large_one_is_as_large_as_the_users(self):
+    def test_large_configuration_has_the_size_of_the_users(self):
         small, large = (
             json.dumps(configuration(1, 'o', ['k'], is_large=is_large))
             for is_large in (False, True)
@@ -74,28 +82,28 @@
         assert len(large) > LARGE_BYTES
         assert len(small) < LARGE_BYTES / 10
 
-    def test_programs_take_it(self):
+    def test_programs_decode_large_configuration(self):
         large = configuration(1, 'o', ['k'], is_large=True)
         small = configuration(1, 'o', ['k'], is_large=False)
         taken = decode_record('op/config', json.dumps(large).encode())
         assert isinstance(taken, FleetConfig)
-        assert len(taken.routes) == len(small['routes']) + MORE_ROUTES
+        assert len(taken.routes) == len(small['routes']) + EXTRA_ROUTES
 
 
-class TestDraws:
-    def test_known_seeds_stay_as_they_are(self):
-        """What is drawn beside a seed's own draws changes none of these."""
-        assert plan_of(random.Random(1), is_large=False) == Plan(2, 5, 2)
-        assert plan_of(random.Random(10), is_large=False) == Plan(4, 3, 2)
+class TestRandomChoices:
+    def test_known_seeds_choose_the_same_plans(self):
+        """Other random generators must not change a seed's own choices."""
+        assert choose_plan(random.Random(1), is_large=False) == Plan(2, 5, 2)
+        assert choose_plan(random.Random(10), is_large=False) == Plan(4, 3, 2)
 
-    def test_queues_have_a_source_of_their_own(self, fleet):
+    def test_queues_use_a_separate_random_generator(self, fleet):
         before = fleet.rng.getstate()
         made = [fleet._replica('e', 'llm') for _ in range(60)]
-        drawn = {(each.slots, each.places.places) for each in made}
-        assert drawn == set(PLACES)
+        sampled = {(each.slots, each.places.places) for each in made}
+        assert sampled == set(SLOTS_AND_QUEUES)
         assert fleet.rng.getstate() == before
 
-    def test_plain_replicas_have_none(self, fleet):
+    def test_plain_replicas_have_no_queue(self, fleet):
         made = [fleet._replica('p', 'plain') for _ in range(60)]
         assert {(each.slots, each.places.places) for each in made} == {(8, 0)}
 
@@ -104,7 +112,7 @@
     def test_configurations_change_before_and_after_the_end(
         self, fleet, monkeypatch
     ):
-        """It was small, and changed at no time that mattered."""
+        """Guards against small configurations that don't change near the end."""
 
         async def check():
             times = []
@@ -116,60 +124,65 @@
                 return put(key, payload)
 
             monkeypatch.setattr(fleet.store, 'put', put_noted)
-            await ends_of(fleet).play(time.monotonic() + 2 * WINDOW_S + 1)
+            await make_version_ends(fleet).run_version_end(
+                time.monotonic() + 2 * WINDOW_S + 1
+            )
             return times
 
         times = run(check())
-        end_at = fleet.named_at[2] + WINDOW_S
+        end_at = fleet.announced_at[2] + WINDOW_S
         assert min(times) < end_at
         assert max(times) > end_at
-        assert max(published(fleet)) > MORE_ROUTES
+        assert max(published(fleet)) > EXTRA_ROUTES
 
-    def test_copies_are_late_until_the_end_is_over(self, fleet):
+    def test_copies_are_slow_until_the_end_has_passed(self, fleet):
         async def check():
-            playing = asyncio.create_task(
-                ends_of(fleet).play(time.monotonic() + 2)
+            version_end = asyncio.create_task(
+                make_version_ends(fleet).run_version_end(time.monotonic() + 2)
             )
             await asyncio.sleep(WINDOW_S / 2)
             copy = fleet.origin.count * fleet.origin.size
-            least_s, most_s = _platform_ends.COPY_S
+            least_s, most_s = _platform_ends.ORIGIN_COPY_S
             rate = fleet.origin.pacer.rate
             assert copy / most_s <= rate <= copy / least_s
-            await playing
+            await version_end
             assert not fleet.origin.pacer.rate
 
         run(check())
 
-    def test_engines_on_an_older_version_get_slow(self, fleet):
-        hold(fleet, 'engine-0', 1)
-        hold(fleet, 'engine-1', 2)
-        assert ends_of(fleet).fill(2) == ['engine-0']
-        faults = [life.replica.faults for life in fleet.replicas.values()]
+    def test_engines_on_an_older_version_become_slow(self, fleet):
+        set_loaded_version(fleet, 'engine-0', 1)
+        set_loaded_version(fleet, 'engine-1', 2)
+        assert make_version_ends(fleet).slow_engines(2) == ['engine-0']
+        faults = [
+            incarnation.replica.faults
+            for incarnation in fleet.replicas.values()
+        ]
         assert [bool(each.take('slow')) for each in faults] == [
             False, True, False,
         ]  # fmt: skip
 
-    def test_it_ends_with_the_load(self, fleet, monkeypatch):
+    def test_run_stops_at_the_deadline(self, fleet, monkeypatch):
         monkeypatch.setattr(_platform_ends, 'VERSION_S', 60)
         began_at = time.monotonic()
-        run(ends_of(fleet).run(began_at + 0.2))
+        run(make_version_ends(fleet).run(began_at + 0.2))
         assert time.monotonic() - began_at < 1
 
-    def test_a_process_that_stood_still_is_noted(self, fleet):
+    def test_suspension_of_the_process_is_recorded(self, fleet):
         async def check(still_s):
-            ends = ends_of(fleet)
-            watch = asyncio.create_task(ends.watch())
+            ends = make_version_ends(fleet)
+            watch = asyncio.create_task(ends.watch_suspensions())
             await asyncio.sleep(0.05)
             time.sleep(still_s)  # noqa: ASYNC251
             await asyncio.sleep(0.05)
             watch.cancel()
-            return [each.name for each in ends.chaos.troubles]
+            return [each.name for each in ends.chaos.disturbances]
 
         assert run(check(0.3)) == [STAND_INS]
 
 
 class TestQueue:
-    def test_who_waits_begins_in_turn(self):
+    def test_waiting_runs_begin_in_order(self):
         async def check():
             slots = Slots(1, 2)
             turns = [slots.take() for _ in range(4)]
@@ -184,7 +197,7 @@
 
         run(check())
 
-    def test_a_load_refuses_all_that_wait(self):
+    def test_load_refuses_all_waiting_runs(self):
         async def check():
             slots = Slots(1, 2)
             slots.take()
@@ -195,8 +208,8 @@
 
         run(check())
 
-    def test_who_left_never_begins(self):
-        """A queue that keeps them begins what an entry has taken back."""
+    def test_cancelled_waiting_run_never_begins(self):
+        """A queue that kept them would run what an entry has cancelled."""
 
         async def check():
             slots = Slots(1, 2)
@@ -211,7 +224,7 @@
 
         run(check())
 
-    def test_a_caller_that_leaves_a_replica_leaves_its_queue(self):
+    def test_disconnected_caller_is_removed_from_the_queue(self):
         async def check():
             replica = FleetReplica({'--id': 'r', '--slots': 1, '--queue': 2})
             replica.places.take()
--- a/tests/scripts/test_relay.py
+++ b/tests/scripts/test_relay.py
@@ -10,24 +10,24 @@
 
 from support.aio import run
 
-US, TARGET = 'us', 'target'
+CALLER, TARGET = 'us', 'target'
 GENERATIONS = {'a': 1, 'b': 2, 'c': 2}
-PAIR = frozenset((US, TARGET))
+PAIR = frozenset((CALLER, TARGET))
 
 
 async def echo(reader, writer):
-    while piece := await reader.read(100):
-        writer.write(piece)
+    while data := await reader.read(100):
+        writer.write(data)
     writer.close()
 
 
-class Relayed:
-    """An echo behind a relay; to be used with `async with`."""
+class RelayedEcho:
+    """An echo server behind a relay; use with `async with`."""
 
     async def __aenter__(self):
         ports = Ports()
         own, self.port = ports.free(), ports.free()
-        self.relay = Relay(lambda: {US: os.getpid()})
+        self.relay = Relay(lambda: {CALLER: os.getpid()})
         self.relay.add(TARGET, '127.0.0.1', listed_port=self.port, own_port=own)
         await self.relay.listen(TARGET)
         self.server = await asyncio.start_server(echo, '127.0.0.1', own)
@@ -41,23 +41,23 @@
         return await asyncio.open_connection('127.0.0.1', self.port)
 
 
-async def echoed(streams, word):
+async def echoed(streams, data_sent):
     reader, writer = streams
-    writer.write(word)
-    return await reader.readexactly(len(word))
+    writer.write(data_sent)
+    return await reader.readexactly(len(data_sent))
 
 
 class TestRelay:
-    def test_passes_on(self):
-        async def story():
-            async with Relayed() as relayed:
+    def test_relays_bytes(self):
+        async def check():
+            async with RelayedEcho() as relayed:
                 assert await echoed(await relayed.connect(), b'one') == b'one'
 
-        run(story())
+        run(check())
 
-    def test_cut_breaks_old_and_new_connections_until_healed(self):
-        async def story():
-            async with Relayed() as relayed:
+    def test_cut_aborts_old_and_new_connections_until_healed(self):
+        async def check():
+            async with RelayedEcho() as relayed:
                 old = await relayed.connect()
                 await echoed(old, b'one')
                 relayed.relay.cut([PAIR])
@@ -68,12 +68,12 @@
                 new = await relayed.connect()
                 assert await echoed(new, b'three') == b'three'
 
-        run(story())
+        run(check())
 
-    @pytest.mark.parametrize('way', [(US, TARGET), (TARGET, US)])
-    def test_frozen_direction_holds_bytes_until_thawed(self, way):
-        async def story():
-            async with Relayed() as relayed:
+    @pytest.mark.parametrize('way', [(CALLER, TARGET), (TARGET, CALLER)])
+    def test_paused_direction_holds_bytes_until_resumed(self, way):
+        async def check():
+            async with RelayedEcho() as relayed:
                 streams = await relayed.connect()
                 await echoed(streams, b'one')
                 relayed.relay.freeze(*way)
@@ -83,19 +83,19 @@
                 relayed.relay.thaw(*way)
                 assert await held == b'two'
 
-        run(story())
+        run(check())
 
     def test_closed_port_refuses(self):
-        async def story():
-            async with Relayed() as relayed:
+        async def check():
+            async with RelayedEcho() as relayed:
                 relayed.relay.close(TARGET)
                 with pytest.raises(ConnectionRefusedError):
                     await relayed.connect()
 
-        run(story())
+        run(check())
 
 
-class TestTrail:
+class TestAuditTrail:
     @pytest.mark.parametrize(
         ('before', 'after', 'bad'),
         [
@@ -107,7 +107,7 @@
             ('a', 'nobody published it', True),
         ],
     )
-    def test_bundle_order_never_goes_back(self, before, after, bad):
+    def test_reverted_or_unknown_bundle_is_detected(self, before, after, bad):
         event = {'kind': 'configuration', 'subject': 'bundle'}
         event = {**event, 'before': before, 'after': after}
         assert bool(went_back([event], GENERATIONS)) is bad
--- a/tests/scripts/test_what_binds.py
+++ b/tests/scripts/test_what_binds.py
@@ -1,12 +1,12 @@
-"""The report on a fleet's logs: fates of requests, stories of versions."""
+"""The report on a fleet's logs: request outcomes and version timelines."""
 
 from __future__ import annotations
 
 import json
 
 import pytest
-from _binds_lines import read_lines
-from _binds_tables import Fate, fate_of, versions_of, windows_of
+from _binds_lines import parse_lines
+from _binds_tables import RequestOutcome, outcome_of, versions_of, windows_of
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -27,8 +27,8 @@
 }
 
 
-def lines(*said):
-    return list(read_lines(json.dumps(each) for each in said))
+def lines(*fields):
+    return list(parse_lines(json.dumps(each) for each in fields))
 
 
 def request(**more):
@@ -38,33 +38,36 @@
 class TestLines:
     @given(st.text(max_size=60))
     def test_what_is_no_line_of_ours_is_left(self, text):
-        assert list(read_lines([text])) == []
+        assert list(parse_lines([text])) == []
 
-    def test_what_a_collector_puts_before_a_line_is_left(self):
+    def test_collector_prefix_is_ignored(self):
         text = f' 12.5 entry-1 {json.dumps(REQUEST)}\n'
-        assert [line.host for line in read_lines([text])] == ['entry-1']
+        assert [line.host for line in parse_lines([text])] == ['entry-1']
 
 
-class TestFates:
+class TestRequestOutcomes:
     @pytest.mark.parametrize(
         ('more', 'fate'),
         [
-            ({}, Fate.IN_TIME),
-            ({'first_s': 0.5}, Fate.LATE_FIRST),
-            ({'pause_s': 0.5}, Fate.LATE_PAUSE),
-            ({'pause_s': 0.5, 'pause_goal_s': 0}, Fate.IN_TIME),
-            ({'first_s': -1, 'took_s': 0.5}, Fate.LATE_FIRST),
-            ({'outcome': 'refused'}, Fate.REFUSED),
-            ({'outcome': 'refused', 'came_back': True}, Fate.REFUSED_AGAIN),
-            ({'outcome': 'failed'}, Fate.FAILED),
-            ({'outcome': 'caller_gone'}, Fate.GONE),
-            ({'message': 'request denied'}, Fate.DENIED),
+            ({}, RequestOutcome.IN_TIME),
+            ({'first_s': 0.5}, RequestOutcome.LATE_FIRST),
+            ({'pause_s': 0.5}, RequestOutcome.LATE_PAUSE),
+            ({'pause_s': 0.5, 'pause_goal_s': 0}, RequestOutcome.IN_TIME),
+            ({'first_s': -1, 'took_s': 0.5}, RequestOutcome.LATE_FIRST),
+            ({'outcome': 'refused'}, RequestOutcome.REFUSED),
+            (
+                {'outcome': 'refused', 'came_back': True},
+                RequestOutcome.REFUSED_AGAIN,
+            ),
+            ({'outcome': 'failed'}, RequestOutcome.FAILED),
+            ({'outcome': 'caller_gone'}, RequestOutcome.GONE),
+            ({'message': 'request denied'}, RequestOutcome.DENIED),
         ],
     )
-    def test_a_request_has_the_fate_that_its_line_tells(self, more, fate):
-        assert fate_of(request(**more)) is fate
+    def test_outcome_follows_from_the_log_line(self, more, fate):
+        assert outcome_of(request(**more)) is fate
 
-    def test_windows_go_by_the_arrival_and_reasons_leave_figures_out(self):
+    def test_windows_use_arrival_time_and_reasons_mask_numbers(self):
         reason = 'first event forecast in 0.43 s'
         late = request(outcome='refused', reason=reason)
         zero = late.at - 3.5
@@ -76,7 +79,7 @@
 
 
 class TestVersions:
-    def test_each_host_has_its_moments(self):
+    def test_milestones_are_kept_by_host(self):
         found = versions_of(
             lines(
                 {**REQUEST, 'message': 'record taken', 'record': 'm version 2'},
@@ -97,5 +100,5 @@
             ),
             zero=request().at,
         )
-        assert found['m@2'].named_at == 0
+        assert found['m@2'].announced_at == 0
         assert found['m@2'].hosts == {'side-1': {'held': 2, 'serving': 3}}
