--- a/scripts/_binds_lines.py
+++ b/scripts/_binds_lines.py
@@ -27,7 +27,7 @@
     fields: dict[str, Any]
 
 
-def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
     """Yield the structured lines, without any prefix; skip all others.
 
     Log collectors put a time or a host before each line.
--- a/scripts/what_binds.py
+++ b/scripts/what_binds.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from _binds_lines import TIME_FORMAT, parse_lines
+from _binds_lines import TIME_FORMAT, read_lines
 from _binds_tables import (
     MILESTONES,
     RequestOutcome,
@@ -46,7 +46,7 @@
         (
             line
             for name in options['LOG']
-            for line in parse_lines(
+            for line in read_lines(
                 Path(name).read_text(errors='replace').splitlines()
             )
         ),
--- a/tests/scripts/test_what_binds.py
+++ b/tests/scripts/test_what_binds.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from _binds_lines import parse_lines
+from _binds_lines import read_lines
 from _binds_tables import RequestOutcome, outcome_of, versions_of, windows_of
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
 
 
 def lines(*fields):
-    return list(parse_lines(json.dumps(each) for each in fields))
+    return list(read_lines(json.dumps(each) for each in fields))
 
 
 def request(**more):
@@ -38,11 +38,11 @@
 class TestLines:
     @given(st.text(max_size=60))
     def test_what_is_no_line_of_ours_is_left(self, text):
-        assert list(parse_lines([text])) == []
+        assert list(read_lines([text])) == []
 
     def test_collector_prefix_is_ignored(self):
         text = f' 12.5 entry-1 {json.dumps(REQUEST)}\n'
-        assert [line.host for line in parse_lines([text])] == ['entry-1']
+        assert [line.host for line in read_lines([text])] == ['entry-1']
 
 
 class TestRequestOutcomes:
