--- a/packages/client/src/crowrudder_client/__init__.py
+++ b/packages/client/src/crowrudder_client/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line: checks, bundles, compares and reads back."""
+"""The operator's command line: check, bundle, compare and inspect."""
--- a/packages/client/src/crowrudder_client/_admin.py
+++ b/packages/client/src/crowrudder_client/_admin.py
@@ -1,4 +1,4 @@
-"""Reading the admin addresses of running processes."""
+"""HTTP client of the admin addresses of running processes."""
 
 from __future__ import annotations
 
@@ -21,43 +21,43 @@
 from crowrudder_model._member import Member, MembersError, decode_members
 from crowrudder_model.declared import Bundle, BundleError, decode_bundle
 
-CONNECT_S = 2.0
-ANSWER_S = 5.0
-# Of a fleet of thousands, so many are asked at once.
-AT_ONCE = 64
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
-MOST_PORT = 65535
-NO_ANSWER = 599
+CONNECT_TIMEOUT_S = 2.0
+RESPONSE_TIMEOUT_S = 5.0
+# Bounds the open connections on a fleet of thousands.
+MAX_CONCURRENT_REQUESTS = 64
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+MAX_PORT = 65535
+NO_RESPONSE_STATUS = 599
 NOT_FOUND = 404
-MOST_SHOWN = 200
+MAX_ERROR_CHARS = 200
 
 
 @frozen
-class Audited:
-    """Events of a process's audit trail, as the process words them."""
+class AuditPage:
+    """Events of a process's audit trail, and the number of the last one."""
 
     events: tuple[dict[str, Any], ...]
     last: int
 
 
 class AdminClient:
-    """Asks processes; an answer is whole or an error."""
+    """Queries processes; returns a complete answer or raises ClientError."""
 
     def __init__(
         self,
         *,
-        answer_s: float = ANSWER_S,
-        at_once: int = AT_ONCE,
+        timeout_s: float = RESPONSE_TIMEOUT_S,
+        max_concurrent: int = MAX_CONCURRENT_REQUESTS,
     ) -> None:
-        self._answer_s = answer_s
-        # The HTTP client's own queue would count the wait for a turn as part
-        # of the time to answer, and call healthy hosts unreachable.
-        self._turns = asyncio.Semaphore(at_once)
+        self._timeout_s = timeout_s
+        # The HTTP client counts the time in its own queue against the request
+        # timeout, so that queued requests to healthy hosts would time out.
+        self._request_slots = asyncio.Semaphore(max_concurrent)
         self._http: AsyncHTTPClient = SimpleAsyncHTTPClient(
             force_instance=True,
-            max_clients=at_once,
-            max_body_size=MOST_ANSWER_BYTES,
-            max_buffer_size=MOST_ANSWER_BYTES,
+            max_clients=max_concurrent,
+            max_body_size=MAX_RESPONSE_BYTES,
+            max_buffer_size=MAX_RESPONSE_BYTES,
         )
 
     def close(self) -> None:
@@ -65,7 +65,7 @@
         self._http.close()
 
     async def members(self, admin: str) -> tuple[Member, ...]:
-        """Ask for the members that the process knows."""
+        """Return the members that the process knows."""
         encoded = await self._get(admin, '/members')
         try:
             return decode_members(encoded)[1]
@@ -73,12 +73,12 @@
             raise UnreachableError(admin, 'GET /members', str(exc)) from exc
 
     async def status(self, admin: str) -> Status:
-        """Ask a process for its status."""
+        """Return the status of a process."""
         encoded = await self._get(admin, '/status')
-        return _decoded(encoded, Status, admin, 'GET /status')
+        return _decode(encoded, Status, admin, 'GET /status')
 
     async def bundle(self, admin: str) -> Bundle | None:
-        """Ask for the bundle in force; None before the first."""
+        """Return the bundle in force, or None before the first."""
         try:
             encoded = await self._get(admin, '/bundle')
         except RejectedError as exc:
@@ -90,10 +90,10 @@
         except BundleError as exc:
             raise UnreachableError(admin, 'GET /bundle', str(exc)) from exc
 
-    async def audit(self, admin: str, after: int) -> Audited:
-        """Ask for the audit events after a number."""
+    async def audit(self, admin: str, after: int) -> AuditPage:
+        """Return the audit events after a sequence number."""
         encoded = await self._get(admin, '/audit', after=str(after))
-        return _decoded(encoded, Audited, admin, 'GET /audit')
+        return _decode(encoded, AuditPage, admin, 'GET /audit')
 
     async def explain(
         self,
@@ -102,71 +102,71 @@
         customer: str,
         model: str,
     ) -> dict[str, Any]:
-        """Ask an entry where a request would go, and why."""
+        """Query an entry where a request would go, and why."""
         encoded = await self._get(
             admin,
             '/explain',
             customer=customer,
             model=model,
         )
-        return _decoded(encoded, dict[str, Any], admin, 'GET /explain')
+        return _decode(encoded, dict[str, Any], admin, 'GET /explain')
 
     async def _get(self, admin: str, path: str, **query: str) -> bytes:
-        req = HTTPRequest(
+        request = HTTPRequest(
             url_concat(f'http://{admin}{path}', query),
-            connect_timeout=min(CONNECT_S, self._answer_s),
-            request_timeout=self._answer_s,
+            connect_timeout=min(CONNECT_TIMEOUT_S, self._timeout_s),
+            request_timeout=self._timeout_s,
             follow_redirects=False,
         )
-        step = f'GET {path}'
+        operation = f'GET {path}'
         try:
-            async with self._turns:
-                answer = await self._http.fetch(req)
+            async with self._request_slots:
+                answer = await self._http.fetch(request)
         except HTTPClientError as exc:
-            if exc.code == NO_ANSWER or exc.response is None:
-                raise UnreachableError(admin, step, str(exc)) from exc
-            why = _why(exc.response.body) or exc.message or ''
-            raise RejectedError(admin, step, exc.code, why) from exc
+            if exc.code == NO_RESPONSE_STATUS or exc.response is None:
+                raise UnreachableError(admin, operation, str(exc)) from exc
+            reason = _error_message(exc.response.body) or exc.message or ''
+            raise RejectedError(admin, operation, exc.code, reason) from exc
         except (OSError, ValueError) as exc:
-            raise UnreachableError(admin, step, str(exc)) from exc
+            raise UnreachableError(admin, operation, str(exc)) from exc
         return answer.body
 
 
-def admin_address(text: str) -> str:
-    """Check that `text` is IP:PORT, and give it back.
+def parse_admin_address(text: str) -> str:
+    """Return `text` if it is IP:PORT.
 
     Raises
     ------
     BadInputError
-        when it is no IP number with a port.
+        when it is not an IPv4 address with a port.
     """
     address, _, port = text.rpartition(':')
     try:
         ipaddress.IPv4Address(address)
     except ValueError:
         port = ''
-    if not (port.isdecimal() and 0 < int(port) <= MOST_PORT):
-        why = 'allowed: IP:PORT of an admin address, as 127.0.0.1:9001'
-        raise BadInputError(f'address {text!r}', why)
+    if not (port.isdecimal() and 0 < int(port) <= MAX_PORT):
+        reason = 'allowed: IP:PORT of an admin address, as 127.0.0.1:9001'
+        raise BadInputError(f'address {text!r}', reason)
     return text
 
 
-def _decoded(encoded: bytes, wanted: Any, peer: str, step: str) -> Any:
+def _decode(encoded: bytes, answer_type: Any, peer: str, operation: str) -> Any:
     try:
-        return msgspec.json.decode(encoded, type=wanted)
+        return msgspec.json.decode(encoded, type=answer_type)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-        why = f'the answer is not one of crowrudder: {exc}'
-        raise UnreachableError(peer, step, why) from exc
+        reason = f'the answer is not one of crowrudder: {exc}'
+        raise UnreachableError(peer, operation, reason) from exc
 
 
-def _why(body: bytes) -> str:
-    """Take the message out of an error's body, if there is one."""
+def _error_message(body: bytes) -> str:
+    """Return the message of an error body, or the start of the body."""
     try:
         found = msgspec.json.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         found = None
     match found:
-        case {'error': {'message': str(why)}} | {'error': str(why)}:
-            return why[:MOST_SHOWN]
+        case {'error': {'message': str(reason)}} | {'error': str(reason)}:
+            return reason[:MAX_ERROR_CHARS]
         case _:
-            return body[:MOST_SHOWN].decode(errors='replace')
+            return body[:MAX_ERROR_CHARS].decode(errors='replace')
--- a/packages/client/src/crowrudder_client/_declare.py
+++ b/packages/client/src/crowrudder_client/_declare.py
@@ -1,4 +1,4 @@
-"""The commands about the declared files: check, bundle, diff."""
+"""Commands on the declared files: check, bundle and diff."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 )
 from crowrudder_client._errors import BadInputError, ExitCode
 from crowrudder_client._output import Outcome
-from crowrudder_client._tables import table
+from crowrudder_client._tables import format_table
 from crowrudder_model._member import Member
 from crowrudder_model.declared import (
     Bundle,
@@ -28,26 +28,26 @@
 
 
 @frozen(kw_only=True)
-class Against:
-    """What the declared files are checked against, beside themselves."""
+class Baseline:
+    """The parent bundle or running fleet to check the declared files against."""
 
     parent_file: str = ''
     admin: str = ''
 
 
 @frozen
-class Checked:
-    """The declared files after all checks."""
+class CheckResult:
+    """The parsed declaration and the faults found in it."""
 
     declaration: Declaration
     faults: tuple[Fault, ...]
 
 
-async def check(directory: str, against: Against) -> Outcome:
+async def check(directory: str, baseline: Baseline) -> Outcome:
     """Check the declared files."""
-    checked = await _checked(directory, against)
+    checked = await _check_files(directory, baseline)
     if checked.faults:
-        return _faulty(checked.faults)
+        return _fault_outcome(checked.faults)
     bundle = bundle_of(checked.declaration)
     generation = checked.declaration.generation
     return Outcome(
@@ -61,15 +61,15 @@
     )
 
 
-async def bundle(directory: str, against: Against, file: str) -> Outcome:
-    """Write the value to publish, to `file` or to the standard output."""
-    checked = await _checked(directory, against)
+async def bundle(directory: str, baseline: Baseline, file: str) -> Outcome:
+    """Write the bundle to publish to `file` or to standard output."""
+    checked = await _check_files(directory, baseline)
     if checked.faults:
-        return _faulty(checked.faults)
+        return _fault_outcome(checked.faults)
     encoded = encode_bundle(checked.declaration)
-    # The very bytes, read as every process will read them.
+    # Decode the encoded bytes, as every process will, to verify them.
     written = decode_bundle(encoded)
-    said = (
+    summary = (
         f'generation {written.declaration.generation}, '
         f'digest {written.digest}, {len(encoded)} bytes'
     )
@@ -80,18 +80,18 @@
     }
     if file:
         write_bundle(file, encoded)
-        return Outcome(exit_code=ExitCode.ok, text=said, answer=answer)
+        return Outcome(exit_code=ExitCode.ok, text=summary, answer=answer)
     return Outcome(
         exit_code=ExitCode.ok,
         text='',
         answer=answer,
-        notes=(said,),
+        notes=(summary,),
         raw=encoded.decode(),
     )
 
 
 async def diff(directory: str, *, admin: str, other: str) -> Outcome:
-    """Compare the declared files with what is in force or with others."""
+    """Compare the declared files with the bundle in force or `other`."""
     after = _declaration(directory)
     before = _declaration(other) if other else await _in_force(admin)
     changes = difference(before, after)
@@ -102,31 +102,31 @@
     )
 
 
-async def _checked(directory: str, against: Against) -> Checked:
+async def _check_files(directory: str, baseline: Baseline) -> CheckResult:
     reading = read_directory(directory)
     if reading.faults:
-        return Checked(reading.declaration, reading.faults)
-    previous, members = await _before(against)
+        return CheckResult(reading.declaration, reading.faults)
+    previous, members = await _read_baseline(baseline)
     faults = publishing_faults(
         reading.declaration,
         previous=previous,
         members=members,
     )
-    return Checked(reading.declaration, faults)
+    return CheckResult(reading.declaration, faults)
 
 
-async def _before(
-    against: Against,
+async def _read_baseline(
+    baseline: Baseline,
 ) -> tuple[Bundle | None, tuple[Member, ...]]:
-    if against.parent_file:
-        return read_bundle(against.parent_file), ()
-    if not against.admin:
+    if baseline.parent_file:
+        return read_bundle(baseline.parent_file), ()
+    if not baseline.admin:
         return None, ()
     client = AdminClient()
     try:
         return (
-            await client.bundle(against.admin),
-            await client.members(against.admin),
+            await client.bundle(baseline.admin),
+            await client.members(baseline.admin),
         )
     finally:
         client.close()
@@ -146,12 +146,12 @@
 def _declaration(directory: str) -> Declaration:
     reading = read_directory(directory)
     if reading.faults:
-        why = '\n'.join(str(fault) for fault in reading.faults)
-        raise BadInputError(f'read {directory}', f'faults\n{why}')
+        reason = '\n'.join(str(fault) for fault in reading.faults)
+        raise BadInputError(f'read {directory}', f'faults\n{reason}')
     return reading.declaration
 
 
-def _faulty(faults: tuple[Fault, ...]) -> Outcome:
+def _fault_outcome(faults: tuple[Fault, ...]) -> Outcome:
     count = len(faults)
     lines = [str(fault) for fault in faults]
     lines.append('1 fault' if count == 1 else f'{count} faults')
@@ -163,7 +163,7 @@
 
 
 def _change_table(changes: tuple[Change, ...]) -> str:
-    return table(
+    return format_table(
         ('section', 'key', 'before', 'after'),
         (
             (change.section, change.key, change.before, change.after)
--- a/packages/client/src/crowrudder_client/_directory.py
+++ b/packages/client/src/crowrudder_client/_directory.py
@@ -1,4 +1,4 @@
-"""The declared files on the operator's disk."""
+"""Reads declared files and bundles, and writes bundles."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     BadInputError
         when the directory or a file can't be read.
     """
-    folder = Path(directory)
-    if not folder.is_dir():
+    path = Path(directory)
+    if not path.is_dir():
         raise BadInputError(f'read {directory}', 'not a directory')
-    files = sorted(folder.glob('*.ini'))
+    files = sorted(path.glob('*.ini'))
     if not files:
         raise BadInputError(f'read {directory}', 'no .ini file in it')
-    return read_files({file.name: _text(file) for file in files})
+    return read_files({file.name: _read_text(file) for file in files})
 
 
 def read_bundle(file: str) -> Bundle:
@@ -46,7 +46,7 @@
 
 
 def write_bundle(file: str, encoded: bytes) -> None:
-    """Write a bundle's bytes.
+    """Write an encoded bundle to a file.
 
     Raises
     ------
@@ -59,7 +59,7 @@
         raise BadInputError(f'write {file}', str(exc)) from exc
 
 
-def _text(file: Path) -> str:
+def _read_text(file: Path) -> str:
     try:
         return file.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
--- a/packages/client/src/crowrudder_client/_errors.py
+++ b/packages/client/src/crowrudder_client/_errors.py
@@ -1,4 +1,4 @@
-"""What keeps a command from its result, each with its exit code."""
+"""Errors of the commands, each with its exit code."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ends; documented in the help and the reference."""
+    """Exit codes, documented in the help and the reference."""
 
     ok = 0
     differs = 1
@@ -17,54 +17,54 @@
 
 
 class ClientError(Exception):
-    """A command that has no result; the text says what to do."""
+    """Base of the errors that end a command without a result."""
 
     exit_code = ExitCode.bad_input
 
 
 @frozen
 class BadInputError(ClientError):
-    """An argument, a directory or a file that can't be used."""
+    """An argument, a directory or a file that is invalid or unreadable."""
 
-    step: str
-    why: str
+    operation: str
+    reason: str
 
     def __str__(self) -> str:
-        """Say the step and the reason."""
-        return f'{self.step}: {self.why}'
+        """Return the operation and the reason."""
+        return f'{self.operation}: {self.reason}'
 
 
 @frozen
 class UnreachableError(ClientError):
-    """A process that gave no answer, or none that can be read."""
+    """A process that didn't answer, or whose answer can't be decoded."""
 
     peer: str
-    step: str
-    why: str
+    operation: str
+    reason: str
 
     exit_code = ExitCode.unreachable
 
     def __str__(self) -> str:
-        """Say the peer, the step and the reason."""
-        return f'{self.peer}: {self.step}: {self.why}'
+        """Return the peer, the operation and the reason."""
+        return f'{self.peer}: {self.operation}: {self.reason}'
 
 
 @frozen
 class RejectedError(ClientError):
-    """A process that answered with an error."""
+    """A process that answered with an error status."""
 
     peer: str
-    step: str
+    operation: str
     status: int
-    why: str
+    reason: str
 
     @property
     def exit_code(self) -> ExitCode:  # type: ignore[override]
-        """Tell the asker's fault from the process's own."""
+        """Return `bad_input` for a client error, otherwise `unreachable`."""
         if self.status in {400, 404}:
             return ExitCode.bad_input
         return ExitCode.unreachable
 
     def __str__(self) -> str:
-        """Say the peer, the step and its answer."""
-        return f'{self.peer}: {self.step}: {self.status} {self.why}'
+        """Return the peer, the operation, the status and the reason."""
+        return f'{self.peer}: {self.operation}: {self.status} {self.reason}'
--- a/packages/client/src/crowrudder_client/_observe.py
+++ b/packages/client/src/crowrudder_client/_observe.py
@@ -1,4 +1,4 @@
-"""The commands about running processes: status, audit, explain."""
+"""Commands on running processes: status, audit and explain."""
 
 from __future__ import annotations
 
@@ -11,21 +11,25 @@
 
 from crowrudder_client._admin import AdminClient
 from crowrudder_client._errors import ClientError, ExitCode, UnreachableError
-from crowrudder_client._output import Outcome
-from crowrudder_client._status_text import answer_of, text_of
-from crowrudder_client._tables import facts, moment, records
-from crowrudder_client._verdict import (
+from crowrudder_client._fleet_state import (
     Answer,
-    Unreached,
-    Verdict,
-    has,
-    judge,
-    newest,
+    FleetState,
+    MissingStatus,
+    evaluate,
+    has_bundle,
+    newest_digest,
+)
+from crowrudder_client._output import Outcome
+from crowrudder_client._status_text import json_values, render_text
+from crowrudder_client._tables import (
+    format_mapping,
+    format_records,
+    format_time,
 )
 from crowrudder_model._member import Member
 from crowrudder_model.declared import Bundle
 
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 AUDIT_COLUMNS = (
     'admin',
     'seq',
@@ -39,28 +43,28 @@
 
 
 @frozen
-class Waiting:
-    """For which bundle `status` waits, and how long (seconds)."""
+class WaitOptions:
+    """The bundle that `status` waits for, and the timeout in seconds."""
 
     digest: str = ''
     timeout_s: float = 0.0
 
 
-async def status(admins: list[str], waiting: Waiting) -> Outcome:
-    """Ask the whole fleet; wait until it is in the declared state."""
+async def status(admins: list[str], wait_options: WaitOptions) -> Outcome:
+    """Query every member; poll until the fleet is in the declared state."""
     client = AdminClient()
-    end = time.monotonic() + waiting.timeout_s
+    deadline = time.monotonic() + wait_options.timeout_s
     try:
-        verdict = await _verdict(client, admins, waiting.digest)
-        while not verdict.is_declared and time.monotonic() < end:
-            await asyncio.sleep(POLL_S)
-            verdict = await _verdict(client, admins, waiting.digest)
+        state = await _read_fleet_state(client, admins, wait_options.digest)
+        while not state.is_declared and time.monotonic() < deadline:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            state = await _read_fleet_state(client, admins, wait_options.digest)
     finally:
         client.close()
     return Outcome(
-        exit_code=ExitCode.ok if verdict.is_declared else ExitCode.differs,
-        text=text_of(verdict),
-        answer=answer_of(verdict),
+        exit_code=ExitCode.ok if state.is_declared else ExitCode.differs,
+        text=render_text(state),
+        answer=json_values(state),
     )
 
 
@@ -83,73 +87,77 @@
         client.close()
     return Outcome(
         exit_code=ExitCode.unreachable if notes else ExitCode.ok,
-        text=records(_timed(events)) if events else 'no events',
+        text=format_records(_format_events(events)) if events else 'no events',
         answer={'events': events, 'last': last},
         notes=tuple(notes),
     )
 
 
 async def explain(admin: str, *, customer: str, model: str) -> Outcome:
-    """Ask an entry where a request would go, and why."""
+    """Query an entry where a request would go, and why."""
     client = AdminClient()
     try:
         answer = await client.explain(admin, customer=customer, model=model)
     finally:
         client.close()
-    return Outcome(exit_code=ExitCode.ok, text=facts(answer), answer=answer)
+    return Outcome(
+        exit_code=ExitCode.ok, text=format_mapping(answer), answer=answer
+    )
 
 
-def _timed(events: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    timed = ({**event, 'at': moment(event.get('at'))} for event in events)
+def _format_events(events: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    events_with_time = (
+        {**event, 'at': format_time(event.get('at'))} for event in events
+    )
     return [
-        {key: event[key] for key in sorted(event, key=_place)}
-        for event in timed
+        {key: event[key] for key in sorted(event, key=_column_rank)}
+        for event in events_with_time
     ]
 
 
-def _place(key: str) -> tuple[int, str]:
-    """Put the columns that tell a story in its order, others behind."""
+def _column_rank(key: str) -> tuple[int, str]:
+    """Return the sort key: known columns in their order, then the others."""
     if key in AUDIT_COLUMNS:
         return AUDIT_COLUMNS.index(key), ''
     return len(AUDIT_COLUMNS), key
 
 
-async def _verdict(
+async def _read_fleet_state(
     client: AdminClient,
     admins: list[str],
-    wanted: str,
-) -> Verdict:
-    members = await _members(client, admins)
-    answers = await _answers(client, members)
-    digest = wanted or newest(answers.values())
-    bundle = await _bundle(client, members, answers, digest)
-    return judge(digest, members=members, answers=answers, bundle=bundle)
+    expected_digest: str,
+) -> FleetState:
+    members = await _read_members(client, admins)
+    statuses = await _read_statuses(client, members)
+    digest = expected_digest or newest_digest(statuses.values())
+    bundle = await _find_bundle(client, members, statuses, digest)
+    return evaluate(digest, members=members, statuses=statuses, bundle=bundle)
 
 
-async def _members(
+async def _read_members(
     client: AdminClient,
     admins: list[str],
 ) -> tuple[Member, ...]:
-    """Ask one address after the other until one knows the members."""
-    missed: list[str] = []
+    """Query the addresses in turn until one returns the members."""
+    errors: list[str] = []
     for admin in admins:
         try:
             members = await client.members(admin)
         except ClientError as exc:
-            missed.append(str(exc))
+            errors.append(str(exc))
             continue
         if members:
             return members
-        missed.append(f'{admin}: it knows no members yet')
-    raise UnreachableError(', '.join(admins), 'members', '; '.join(missed))
+        errors.append(f'{admin}: it knows no members yet')
+    raise UnreachableError(', '.join(admins), 'members', '; '.join(errors))
 
 
-async def _answers(
+async def _read_statuses(
     client: AdminClient,
     members: tuple[Member, ...],
 ) -> dict[str, Answer]:
     found = await asyncio.gather(
-        *(_answer(client, member) for member in members),
+        *(_read_status(client, member) for member in members),
     )
     return {
         member.host: answer
@@ -157,31 +165,34 @@
     }
 
 
-async def _answer(client: AdminClient, member: Member) -> Answer:
+async def _read_status(client: AdminClient, member: Member) -> Answer:
     try:
         found = await client.status(member.admin_address)
     except ClientError as exc:
-        return Unreached(str(exc))
+        return MissingStatus(str(exc))
     if found.host != member.host:
-        # A port that went to another process: its words aren't this host's.
-        return Unreached(f'{member.admin_address}: host {found.host} answers')
+        # The port belongs to another process now, so its status is of
+        # another host.
+        return MissingStatus(
+            f'{member.admin_address}: host {found.host} answers'
+        )
     return found
 
 
-async def _bundle(
+async def _find_bundle(
     client: AdminClient,
     members: tuple[Member, ...],
-    answers: Mapping[str, Answer],
+    statuses: Mapping[str, Answer],
     digest: str,
 ) -> Bundle | None:
-    """Get the wanted bundle from any process that has it in force."""
+    """Read the expected bundle from any process that has it in force."""
     for member in members:
-        if not has(digest, answers[member.host]):
+        if not has_bundle(digest, statuses[member.host]):
             continue
         try:
             found = await client.bundle(member.admin_address)
         except ClientError:
-            # The next one may answer; its own row says what is wrong.
+            # Another member may answer; the row of this one has the error.
             continue
         if found is not None and found.digest.startswith(digest):
             return found
--- a/packages/client/src/crowrudder_client/_output.py
+++ b/packages/client/src/crowrudder_client/_output.py
@@ -1,4 +1,4 @@
-"""What a command says: text for people, JSON for programs."""
+"""Output of the commands: text or JSON."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @frozen(kw_only=True)
 class Outcome:
-    """The end of a command."""
+    """The exit code and the output of a command."""
 
     exit_code: ExitCode
     text: str
     answer: Any
     notes: tuple[str, ...] = ()
-    # A value for another program, in place of the text and the answer.
+    # Output for another program, written in place of `text` and `answer`.
     raw: str = ''
 
 
-def show(outcome: Outcome, *, as_json: bool) -> None:
-    """Write an outcome to the standard streams."""
+def write_outcome(outcome: Outcome, *, as_json: bool) -> None:
+    """Write an outcome to standard output, its notes to standard error."""
     for note in outcome.notes:
         sys.stderr.write(f'crowrudder: {note}\n')
     if outcome.raw:
--- a/packages/client/src/crowrudder_client/_status.py
+++ b/packages/client/src/crowrudder_client/_status.py
@@ -1,4 +1,4 @@
-"""The status of a process, as its admin address gives it."""
+"""The status of a process, as its admin address returns it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @frozen
 class LostBundle:
-    """A published bundle that another operator's bundle beat."""
+    """A published bundle that lost to another operator's bundle."""
 
     digest: str = ''
     generation: int = 0
@@ -25,7 +25,7 @@
 
 @frozen
 class Status:
-    """What a process says of itself.
+    """The status message of a process.
 
     `in_force_since` is in seconds since 1970, `progress` the share of the
     chunks of the declared version that the host has.
@@ -47,6 +47,6 @@
     hinders: tuple[str, ...] = ()
 
     @property
-    def order(self) -> tuple[int, str]:
-        """The place of its bundle in the order of all bundles."""
+    def bundle_order(self) -> tuple[int, str]:
+        """The position of its bundle in the order of bundles."""
         return self.generation, self.digest or ''
--- a/packages/client/src/crowrudder_client/_status_text.py
+++ b/packages/client/src/crowrudder_client/_status_text.py
@@ -1,4 +1,4 @@
-"""The status as people and as programs read it."""
+"""Formats the fleet state as text and as plain values for JSON."""
 
 from __future__ import annotations
 
@@ -8,8 +8,12 @@
 
 import msgspec
 
-from crowrudder_client._tables import moment, table
-from crowrudder_client._verdict import SHOWN_DIGITS, HostRow, Verdict
+from crowrudder_client._fleet_state import (
+    SHORT_DIGEST_CHARS,
+    FleetState,
+    HostRow,
+)
+from crowrudder_client._tables import format_table, format_time
 
 Column = tuple[str, Callable[[HostRow], object]]
 SERVICE_HEADS = (
@@ -26,8 +30,8 @@
     ('service', lambda row: row.service),
     ('state', lambda row: row.state),
     ('generation', lambda row: row.generation),
-    ('bundle', lambda row: row.digest[:SHOWN_DIGITS]),
-    ('since', lambda row: moment(row.in_force_since)),
+    ('bundle', lambda row: row.digest[:SHORT_DIGEST_CHARS]),
+    ('since', lambda row: format_time(row.in_force_since)),
     ('declared', lambda row: row.declared_version),
     ('loaded', lambda row: row.loaded_version),
     ('progress', lambda row: _share(row.progress)),
@@ -35,35 +39,35 @@
 )
 
 
-def text_of(verdict: Verdict) -> str:
-    """Write the verdict as tables with a last line that sums it up."""
-    counted = [row for row in verdict.hosts if row.is_counted]
+def render_text(fleet_state: FleetState) -> str:
+    """Format the fleet state as tables, followed by a summary line."""
+    counted = [row for row in fleet_state.hosts if row.is_counted]
     done = sum(row.state == 'declared' for row in counted)
-    word = 'yes' if verdict.is_declared else 'no'
+    yes_or_no = 'yes' if fleet_state.is_declared else 'no'
     parts = [
-        _host_table(verdict),
-        *_refusals(verdict),
-        *_losses(verdict),
-        f'in the declared state: {word}, {done} of {len(counted)} hosts, '
-        f'bundle {verdict.digest or "none"}',
+        _host_table(fleet_state),
+        *_refusals(fleet_state),
+        *_losses(fleet_state),
+        f'in the declared state: {yes_or_no}, {done} of {len(counted)} hosts, '
+        f'bundle {fleet_state.digest or "none"}',
     ]
-    if verdict.services:
-        parts.insert(0, _service_table(verdict))
+    if fleet_state.services:
+        parts.insert(0, _service_table(fleet_state))
     return '\n\n'.join(parts)
 
 
-def answer_of(verdict: Verdict) -> dict[str, Any]:
-    """Give the verdict as plain values."""
+def json_values(fleet_state: FleetState) -> dict[str, Any]:
+    """Return the fleet state as plain values."""
     return {
-        'is_declared': verdict.is_declared,
-        'digest': verdict.digest,
-        'services': msgspec.to_builtins(verdict.services),
-        'hosts': msgspec.to_builtins(verdict.hosts),
+        'is_declared': fleet_state.is_declared,
+        'digest': fleet_state.digest,
+        'services': msgspec.to_builtins(fleet_state.services),
+        'hosts': msgspec.to_builtins(fleet_state.hosts),
     }
 
 
-def _service_table(verdict: Verdict) -> str:
-    return table(
+def _service_table(fleet_state: FleetState) -> str:
+    return format_table(
         SERVICE_HEADS,
         (
             (
@@ -74,30 +78,33 @@
                 row.declared,
                 _share(row.progress),
             )
-            for row in verdict.services
+            for row in fleet_state.services
         ),
     )
 
 
-def _host_table(verdict: Verdict) -> str:
-    return table(
+def _host_table(fleet_state: FleetState) -> str:
+    return format_table(
         [head for head, _ in HOST_COLUMNS],
-        ([told(row) for _, told in HOST_COLUMNS] for row in verdict.hosts),
+        (
+            [value_of(row) for _, value_of in HOST_COLUMNS]
+            for row in fleet_state.hosts
+        ),
     )
 
 
-def _refusals(verdict: Verdict) -> list[str]:
-    """Say each reason once: a bad value reaches the whole fleet."""
-    reasons = Counter(row.refused for row in verdict.hosts if row.refused)
+def _refusals(fleet_state: FleetState) -> list[str]:
+    """Return a line per reason: one bad value reaches every host."""
+    reasons = Counter(row.refused for row in fleet_state.hosts if row.refused)
     return [
         f'a published bundle is refused by {count} hosts: {reason}'
         for reason, count in reasons.items()
     ]
 
 
-def _losses(verdict: Verdict) -> list[str]:
-    """Name each bundle that lost a race, and what its operator does now."""
-    losses = Counter(row.lost for row in verdict.hosts if row.lost)
+def _losses(fleet_state: FleetState) -> list[str]:
+    """Return a line per bundle that lost a publishing race, and the remedy."""
+    losses = Counter(row.lost for row in fleet_state.hosts if row.lost)
     return [
         f'bundle {lost.digest} of generation {lost.generation} lost to '
         f'{lost.winner}, as {count} hosts saw: whoever published it takes the '
--- a/packages/client/src/crowrudder_client/cli.py
+++ b/packages/client/src/crowrudder_client/cli.py
@@ -58,17 +58,17 @@
 from docopt import DocoptExit, docopt
 
 from crowrudder_client import _declare, _observe
-from crowrudder_client._admin import admin_address
+from crowrudder_client._admin import parse_admin_address
 from crowrudder_client._errors import BadInputError, ClientError, ExitCode
-from crowrudder_client._output import Outcome, show
+from crowrudder_client._output import Outcome, write_outcome
 
 USAGE = __doc__ or ''
-DIGEST = re.compile('[0-9a-f]{8,64}')
-MOST_WAIT_S = 86400
+DIGEST_PATTERN = re.compile('[0-9a-f]{8,64}')
+MAX_WAIT_S = 86400
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command; give its exit code."""
+    """Run one command and return its exit code."""
     try:
         options = docopt(USAGE, sys.argv[1:] if argv is None else argv)
     except DocoptExit as exc:
@@ -81,31 +81,31 @@
         return exc.exit_code
     except KeyboardInterrupt:
         return ExitCode.differs
-    show(outcome, as_json=options['--json'])
+    write_outcome(outcome, as_json=options['--json'])
     return outcome.exit_code
 
 
 async def _run(options: dict[str, Any]) -> Outcome:
     if options['check']:
-        return await _declare.check(options['DIR'], _against(options))
+        return await _declare.check(options['DIR'], _baseline(options))
     if options['bundle']:
         file = options['-o'] or ''
-        return await _declare.bundle(options['DIR'], _against(options), file)
+        return await _declare.bundle(options['DIR'], _baseline(options), file)
     if options['diff']:
         return await _declare.diff(
             options['DIR'],
-            admin=_against(options).admin,
+            admin=_baseline(options).admin,
             other=options['--against'] or '',
         )
-    return await _run_observing(options)
+    return await _run_process_command(options)
 
 
-async def _run_observing(options: dict[str, Any]) -> Outcome:
-    admins = [admin_address(text) for text in options['ADMIN']]
+async def _run_process_command(options: dict[str, Any]) -> Outcome:
+    admins = [parse_admin_address(text) for text in options['ADMIN']]
     if options['status']:
-        return await _observe.status(admins, _waiting(options))
+        return await _observe.status(admins, _wait_options(options))
     if options['audit']:
-        after = _number(options, '--after', (1 << 63) - 1)
+        after = _parse_number(options, '--after', (1 << 63) - 1)
         return await _observe.audit(admins, after)
     return await _observe.explain(
         admins[0],
@@ -114,28 +114,28 @@
     )
 
 
-def _against(options: dict[str, Any]) -> _declare.Against:
+def _baseline(options: dict[str, Any]) -> _declare.Baseline:
     admin = options['--in-force']
-    return _declare.Against(
+    return _declare.Baseline(
         parent_file=options['--parent'] or '',
-        admin=admin_address(admin) if admin else '',
+        admin=parse_admin_address(admin) if admin else '',
     )
 
 
-def _waiting(options: dict[str, Any]) -> _observe.Waiting:
+def _wait_options(options: dict[str, Any]) -> _observe.WaitOptions:
     digest = options['--wait']
-    timeout_s = _number(options, '--timeout', MOST_WAIT_S)
+    timeout_s = _parse_number(options, '--timeout', MAX_WAIT_S)
     if digest is None:
-        return _observe.Waiting()
-    if DIGEST.fullmatch(digest) is None:
+        return _observe.WaitOptions()
+    if DIGEST_PATTERN.fullmatch(digest) is None:
         allowed = 'allowed: 8 to 64 lower-case hexadecimal digits'
         raise BadInputError(f'--wait {digest!r}', allowed)
-    return _observe.Waiting(digest, timeout_s)
+    return _observe.WaitOptions(digest, timeout_s)
 
 
-def _number(options: dict[str, Any], name: str, most: int) -> int:
+def _parse_number(options: dict[str, Any], name: str, max_value: int) -> int:
     text = options[name]
-    if not re.fullmatch('[0-9]{1,19}', text) or int(text) > most:
-        allowed = f'allowed: a whole number from 0 to {most}'
+    if not re.fullmatch('[0-9]{1,19}', text) or int(text) > max_value:
+        allowed = f'allowed: a whole number from 0 to {max_value}'
         raise BadInputError(f'{name} {text!r}', allowed)
     return int(text)
--- a/tests/client/test_cli.py
+++ b/tests/client/test_cli.py
@@ -1,4 +1,4 @@
-"""The commands against a small fake of the admin addresses."""
+"""Tests of the commands against fake admin addresses."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 
 
 @define
-class Fake:
+class FakeProcess:
     """Answers of one process, by path; None stands for 404."""
 
     port: int = 0
     answers: dict[str, Any] = Factory(dict)
-    asked: list[str] = Factory(list)
+    request_paths: list[str] = Factory(list)
 
     @property
     def admin(self) -> str:
@@ -54,12 +54,12 @@
 
 
 class Answer(RequestHandler):
-    def initialize(self, fake: Fake) -> None:
-        self.fake = fake
+    def initialize(self, fake: FakeProcess) -> None:
+        self.process = fake
 
     def get(self) -> None:
-        self.fake.asked.append(self.request.uri or '')
-        answer = self.fake.answers.get(self.request.path)
+        self.process.request_paths.append(self.request.uri or '')
+        answer = self.process.answers.get(self.request.path)
         if callable(answer):
             answer = answer()
         if answer is None:
@@ -70,24 +70,24 @@
 
 
 @pytest.fixture
-def fakes() -> Iterator[list[Fake]]:
-    """Five processes: an entry, and agents of which four have engines."""
-    made = [Fake() for _ in range(6)]
+def processes() -> Iterator[list[FakeProcess]]:
+    """Six processes: an entry, and five agents of which four have engines."""
+    made = [FakeProcess() for _ in range(6)]
     started = threading.Event()
     stop: list[Any] = []
 
     async def serve() -> None:
-        ending = asyncio.Event()
-        stop.append((asyncio.get_running_loop(), ending))
+        stopped = asyncio.Event()
+        stop.append((asyncio.get_running_loop(), stopped))
         servers = []
-        for fake in made:
-            app = Application([('.*', Answer, {'fake': fake})])
+        for process in made:
+            app = Application([('.*', Answer, {'fake': process})])
             sockets = bind_sockets(0, '127.0.0.1')
-            fake.port = sockets[0].getsockname()[1]
+            process.port = sockets[0].getsockname()[1]
             servers.append(HTTPServer(app))
             servers[-1].add_sockets(sockets)
         started.set()
-        await ending.wait()
+        await stopped.wait()
         for server in servers:
             server.stop()
             await server.close_all_connections()
@@ -95,21 +95,23 @@
     thread = threading.Thread(target=asyncio.run, args=(serve(),))
     thread.start()
     started.wait()
-    _settle(made)
+    _set_declared_state(made)
     yield made
-    loop, ending = stop[0]
-    loop.call_soon_threadsafe(ending.set)
+    loop, stopped = stop[0]
+    loop.call_soon_threadsafe(stopped.set)
     thread.join()
 
 
-def _settle(fakes: list[Fake]) -> None:
-    members = [_member(number, fake) for number, fake in enumerate(fakes)]
-    told = {'revision': 1, 'members': msgspec.to_builtins(members)}
-    for member, fake in zip(members, fakes, strict=True):
+def _set_declared_state(processes: list[FakeProcess]) -> None:
+    members = [
+        _member(number, process) for number, process in enumerate(processes)
+    ]
+    members_answer = {'revision': 1, 'members': msgspec.to_builtins(members)}
+    for member, process in zip(members, processes, strict=True):
         is_engine = member.upstream == 'engine'
         plain = 'portal' if member.upstream else ''
-        fake.answers = {
-            '/members': told,
+        process.answers = {
+            '/members': members_answer,
             '/bundle': encode_bundle(IN_FORCE),
             '/status': {
                 'host': member.host,
@@ -129,13 +131,13 @@
         }
 
 
-def _member(number: int, fake: Fake) -> Member:
+def _member(number: int, process: FakeProcess) -> Member:
     upstreams = ('', 'plain:portal', 'engine', 'engine', 'engine', 'engine')
     return Member(
         f'h{number}',
         'agent' if number else 'entry',
         '127.0.0.1',
-        admin_port=fake.port,
+        admin_port=process.port,
         upstream=upstreams[number],
     )
 
@@ -190,13 +192,15 @@
         assert decode_bundle(file.read_bytes()).digest == DIGEST
         assert DIGEST in capsys.readouterr().out
 
-    def test_bundle_to_standard_output_is_the_value(self, capsys: Any) -> None:
+    def test_bundle_is_written_to_standard_output(self, capsys: Any) -> None:
         assert main(['bundle', str(EXAMPLE)]) == OK
-        said = capsys.readouterr()
-        assert decode_bundle(said.out.encode()).digest == DIGEST
-        assert DIGEST in said.err
+        captured = capsys.readouterr()
+        assert decode_bundle(captured.out.encode()).digest == DIGEST
+        assert DIGEST in captured.err
 
-    def test_faults_write_no_bundle(self, fleet: Path, capsys: Any) -> None:
+    def test_no_bundle_is_written_with_faults(
+        self, fleet: Path, capsys: Any
+    ) -> None:
         edit(fleet, 'services.ini', 'replicas = 4', 'replicas = many')
         edit(fleet, 'customers.ini', 'share = 0.6', 'share = 6')
         file = fleet / 'out.json'
@@ -215,14 +219,16 @@
         assert main(['bundle', str(fleet), '-o', str(parent)]) == OK
         checked = ['check', str(fleet), '--parent', str(parent)]
         assert main(checked) == BAD
-        said = capsys.readouterr().out
-        assert '[fleet] generation' in said
-        assert f'allowed: {DIGEST}' in said
+        captured = capsys.readouterr().out
+        assert '[fleet] generation' in captured
+        assert f'allowed: {DIGEST}' in captured
         edit(fleet, 'fleet.ini', 'generation = 1', 'generation = 2')
         edit(fleet, 'fleet.ini', 'parent =', f'parent = {DIGEST}')
         assert main(checked) == OK
 
-    def test_not_utf8_and_half_parent(self, fleet: Path, capsys: Any) -> None:
+    def test_invalid_utf8_and_truncated_parent(
+        self, fleet: Path, capsys: Any
+    ) -> None:
         half = fleet / 'half.json'
         half.write_bytes(encode_bundle(IN_FORCE)[:99])
         assert main(['check', str(fleet), '--parent', str(half)]) == BAD
@@ -230,11 +236,13 @@
         assert main(['check', str(fleet)]) == BAD
         assert 'x.ini' in capsys.readouterr().err
 
-    def test_diff(self, fleet: Path, fakes: list[Fake], capsys: Any) -> None:
+    def test_diff(
+        self, fleet: Path, processes: list[FakeProcess], capsys: Any
+    ) -> None:
         against = ['--against', str(EXAMPLE)]
         assert main(['diff', str(fleet), *against]) == OK
         edit(fleet, 'services.ini', 'replicas = 4', 'replicas = 3')
-        in_force = ['--in-force', fakes[0].admin, '--json']
+        in_force = ['--in-force', processes[0].admin, '--json']
         assert main(['diff', str(fleet), *against]) == DIFFERS
         assert 'replicas' in capsys.readouterr().out
         assert main(['diff', str(fleet), *in_force]) == DIFFERS
@@ -250,12 +258,12 @@
     def test_in_force_gives_parent_and_members(
         self,
         fleet: Path,
-        fakes: list[Fake],
+        processes: list[FakeProcess],
         capsys: Any,
     ) -> None:
         edit(fleet, 'fleet.ini', 'generation = 1', 'generation = 2')
         edit(fleet, 'fleet.ini', 'parent =', f'parent = {DIGEST}')
-        line = ['check', str(fleet), '--in-force', fakes[0].admin]
+        line = ['check', str(fleet), '--in-force', processes[0].admin]
         assert main(line) == OK
         edit(fleet, 'services.ini', 'replicas = 4', 'replicas = 5')
         assert main(line) == BAD
@@ -263,26 +271,26 @@
 
 
 class TestStatus:
-    def test_declared_state_is_zero(
+    def test_declared_state_exits_with_zero(
         self,
-        fakes: list[Fake],
+        processes: list[FakeProcess],
         capsys: Any,
     ) -> None:
-        assert main(['status', fakes[0].admin]) == OK
-        said = capsys.readouterr().out
-        assert f'yes, 6 of 6 hosts, bundle {DIGEST}' in said
-        assert '2023-11-14T22:13:20.250+00:00' in said
+        assert main(['status', processes[0].admin]) == OK
+        captured = capsys.readouterr().out
+        assert f'yes, 6 of 6 hosts, bundle {DIGEST}' in captured
+        assert '2023-11-14T22:13:20.250+00:00' in captured
 
-    def test_what_hinders_is_named(
+    def test_blocking_reasons_are_listed(
         self,
-        fakes: list[Fake],
+        processes: list[FakeProcess],
         capsys: Any,
     ) -> None:
-        fakes[3].answers['/status']['loaded_version'] = ''
-        fakes[3].answers['/status']['hinders'] = ['origin answers 503']
-        fakes[4].answers['/status'] = b'<html>'
-        fakes[5].answers['/status']['host'] = 'h4'
-        assert main(['status', fakes[0].admin, '--json']) == DIFFERS
+        processes[3].answers['/status']['loaded_version'] = ''
+        processes[3].answers['/status']['hinders'] = ['origin answers 503']
+        processes[4].answers['/status'] = b'<html>'
+        processes[5].answers['/status']['host'] = 'h4'
+        assert main(['status', processes[0].admin, '--json']) == DIFFERS
         answer = json.loads(capsys.readouterr().out)
         states = {row['host']: row['state'] for row in answer['hosts']}
         assert states == {
@@ -298,44 +306,49 @@
         assert 'not one of crowrudder' in hinders['h4'][0]
         assert 'host h4 answers' in hinders['h5'][0]
 
-    def test_next_address_is_asked(self, fakes: list[Fake]) -> None:
-        fakes[0].answers['/members'] = None
-        admins = [closed_port(), fakes[0].admin, fakes[1].admin]
+    def test_next_address_is_queried(
+        self, processes: list[FakeProcess]
+    ) -> None:
+        processes[0].answers['/members'] = None
+        admins = [closed_port(), processes[0].admin, processes[1].admin]
         assert main(['status', *admins]) == OK
 
-    def test_nobody_answers(self, capsys: Any) -> None:
+    def test_no_address_answers(self, capsys: Any) -> None:
         assert main(['status', closed_port()]) == UNREACHABLE
         assert 'refused' in capsys.readouterr().err
 
-    def test_waits_until_it_is_everywhere(self, fakes: list[Fake]) -> None:
-        """One host gets the bundle late, after it was asked once."""
-        late = fakes[2].answers['/status']
-        told = iter([{**late, 'digest': '', 'generation': 0}])
-        fakes[2].answers['/status'] = lambda: next(told, late)
-        assert main(['status', fakes[0].admin, '--wait', DIGEST[:8]]) == OK
-        assert fakes[2].asked.count('/status') == 2
-
-    def test_wait_ends(self, fakes: list[Fake], capsys: Any) -> None:
+    def test_waits_until_every_host_has_the_bundle(
+        self, processes: list[FakeProcess]
+    ) -> None:
+        """One host has the bundle at the second poll only."""
+        late = processes[2].answers['/status']
+        first_answers = iter([{**late, 'digest': '', 'generation': 0}])
+        processes[2].answers['/status'] = lambda: next(first_answers, late)
+        assert main(['status', processes[0].admin, '--wait', DIGEST[:8]]) == OK
+        assert processes[2].request_paths.count('/status') == 2
+
+    def test_wait_times_out(
+        self, processes: list[FakeProcess], capsys: Any
+    ) -> None:
         wait = ['--wait', 'f' * 64, '--timeout', '0']
-        assert main(['status', fakes[0].admin, *wait]) == DIFFERS
+        assert main(['status', processes[0].admin, *wait]) == DIFFERS
         assert 'no, 0 of 6 hosts' in capsys.readouterr().out
 
 
 class TestAdminClient:
-    def test_frozen_hosts_take_no_time_of_others(
+    def test_paused_hosts_do_not_delay_healthy_hosts(
         self,
-        fakes: list[Fake],
+        processes: list[FakeProcess],
     ) -> None:
-        """A healthy host was shown as unreachable in a large fleet.
+        """Healthy hosts are not `unreachable` while others are paused.
 
-        Symptom: `status` names hosts that answer at once `unreachable`.
-        Sequence: more hosts are frozen than are asked at once; the others
-        wait for their turn. Cause: the HTTP client's own queue counts that
-        wait as part of the time to answer.
+        With more paused hosts than concurrent requests, the requests to
+        healthy hosts wait. The HTTP client's own queue counts that wait
+        against the request timeout, so they would time out.
         """
 
         async def ask(admins: list[str]) -> list[Any]:
-            client = AdminClient(answer_s=0.2, at_once=1)
+            client = AdminClient(timeout_s=0.2, max_concurrent=1)
             try:
                 return await asyncio.gather(
                     *(client.status(admin) for admin in admins),
@@ -346,20 +359,20 @@
 
         with socket.create_server(('127.0.0.1', 0)) as server:
             admin = f'127.0.0.1:{server.getsockname()[1]}'
-            *frozen, healthy = run(ask([admin, admin, fakes[0].admin]))
-        assert all(isinstance(item, UnreachableError) for item in frozen)
+            *paused, healthy = run(ask([admin, admin, processes[0].admin]))
+        assert all(isinstance(item, UnreachableError) for item in paused)
         assert isinstance(healthy, Status)
 
 
 class TestReadingBack:
-    def test_audit(self, fakes: list[Fake], capsys: Any) -> None:
+    def test_audit(self, processes: list[FakeProcess], capsys: Any) -> None:
         event = {'after': 'x\ny', 'at': 1.0, 'seq': 41, 'teller': 'platform'}
-        fakes[0].answers['/audit'] = {'events': [event], 'last': 41}
-        admin = fakes[0].admin
+        processes[0].answers['/audit'] = {'events': [event], 'last': 41}
+        admin = processes[0].admin
         assert main(['audit', admin, '--after', '40']) == OK
-        assert fakes[0].asked == ['/audit?after=40']
-        said = capsys.readouterr().out
-        heads, line = said.splitlines()
+        assert processes[0].request_paths == ['/audit?after=40']
+        captured = capsys.readouterr().out
+        heads, line = captured.splitlines()
         assert heads.split() == ['admin', 'seq', 'at', 'teller', 'after']
         assert line.endswith('platform  x y')
         both = ['audit', closed_port(), admin, '--json']
@@ -367,33 +380,35 @@
         events = json.loads(capsys.readouterr().out)['events']
         assert events == [{'admin': admin, **event}]
 
-    def test_explain(self, fakes: list[Fake], capsys: Any) -> None:
+    def test_explain(self, processes: list[FakeProcess], capsys: Any) -> None:
         answer = {'service': 'listing', 'candidates': [{'host': 'h2'}]}
-        fakes[0].answers['/explain'] = answer
-        asked = ['--customer', 'a&b', '--model', 'listing']
-        assert main(['explain', fakes[0].admin, *asked]) == OK
+        processes[0].answers['/explain'] = answer
+        arguments = ['--customer', 'a&b', '--model', 'listing']
+        assert main(['explain', processes[0].admin, *arguments]) == OK
         assert 'service: listing' in capsys.readouterr().out
-        assert fakes[0].asked == ['/explain?customer=a%26b&model=listing']
+        assert processes[0].request_paths == [
+            '/explain?customer=a%26b&model=listing'
+        ]
 
-    def test_explain_of_the_unknown(
+    def test_explain_of_an_unknown_model(
         self,
-        fakes: list[Fake],
+        processes: list[FakeProcess],
         capsys: Any,
     ) -> None:
-        asked = ['--customer', 'a', '--model', 'b']
-        assert main(['explain', fakes[0].admin, *asked]) == BAD
+        arguments = ['--customer', 'a', '--model', 'b']
+        assert main(['explain', processes[0].admin, *arguments]) == BAD
         assert 'nothing here' in capsys.readouterr().err
 
-    def test_port_that_is_not_ours(self, capsys: Any) -> None:
+    def test_port_of_another_service(self, capsys: Any) -> None:
         with socket.create_server(('127.0.0.1', 0)) as server:
-            thread = threading.Thread(target=_greet, args=(server,))
+            thread = threading.Thread(target=_send_greeting, args=(server,))
             thread.start()
             admin = f'127.0.0.1:{server.getsockname()[1]}'
             assert main(['audit', admin]) == UNREACHABLE
             thread.join()
 
 
-def _greet(server: socket.socket) -> None:
+def _send_greeting(server: socket.socket) -> None:
     conn, _ = server.accept()
     with conn:
         conn.sendall(b'220 mail ready\r\n')
