--- a/packages/standins/src/crowrudder_standins/__init__.py
+++ b/packages/standins/src/crowrudder_standins/__init__.py
@@ -1,5 +1,5 @@
-"""Small stand-ins of the systems that crowrudder meets.
+"""Small stand-ins for the systems that crowrudder talks to.
 
-Each is a module to start by ``python -m crowrudder_standins.NAME``; the
-contract they follow is ``docs/reference/outside-systems.md``.
+Start one with ``python -m crowrudder_standins.NAME``. They implement the
+contract in ``docs/reference/outside-systems.md``.
 """
--- a/packages/standins/src/crowrudder_standins/_batch.py
+++ b/packages/standins/src/crowrudder_standins/_batch.py
@@ -1,4 +1,4 @@
-"""The engine's continuous batching: slots, token steps and prefix cache."""
+"""Continuous batching of the engine: slots, token steps, prefix cache."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 from attrs import define, field
 
-_BATCH_SLOWDOWN = 0.02
-_HIT_SHARE = 0.2
+_SLOWDOWN_PER_REQUEST = 0.02
+_HIT_PREFILL_SHARE = 0.2
 _PREFIX_CHARS = 32
-_GAP_SHARE = 0.1
+_EVENT_LOSS_PROBABILITY = 0.1
 Token = tuple[str, int]
 
 
 def token_text(version: str, index: int, prompt: str) -> str:
-    """Return the text from which anyone can check whose token it is."""
+    """Return a token text that identifies its version, index and prompt."""
     digest = hashlib.sha256(prompt.encode()).hexdigest()
     return f'{version}:{index}:{digest[:8]} '
 
@@ -40,7 +40,7 @@
     ranges: list[list[Any]] = field(factory=list)
     events: asyncio.Queue[Token | None] = field(factory=asyncio.Queue)
 
-    def rank(self) -> tuple[int, int]:
+    def priority_key(self) -> tuple[int, int]:
         return (self.priority, self.serial)
 
     def next_index(self) -> int:
@@ -54,14 +54,14 @@
             self.ranges.append([version, index, index])
         self.events.put_nowait((version, index))
 
-    def books(self) -> dict[str, Any]:
+    def log_entry(self) -> dict[str, Any]:
         shown = ('serial', 'request_id', 'resume_from', 'state', 'ranges')
         return {name: getattr(self, name) for name in shown}
 
 
 @define
 class PrefixCache:
-    """Least recently used prompt prefixes, with events late and with gaps."""
+    """LRU cache of prompt prefixes; its events are delayed and have gaps."""
 
     size: int
     event_lag_s: float
@@ -70,45 +70,45 @@
     _events: list[tuple[float, dict[str, Any]]] = field(factory=list)
     _seq: int = 0
 
-    def use(self, prompt: str) -> bool:
-        """Store the prompt's prefix and tell whether it was there."""
+    def touch(self, prompt: str) -> bool:
+        """Store the prompt's prefix and return whether it was cached."""
         prefix = prompt[:_PREFIX_CHARS]
         hit = prefix in self._prefixes
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
         if not hit:
-            self._tell('stored', prefix)
+            self._emit('stored', prefix)
         if len(self._prefixes) > self.size:
-            self._tell('evicted', self._prefixes.popitem(last=False)[0])
+            self._emit('evicted', self._prefixes.popitem(last=False)[0])
         return hit
 
     def clear(self) -> None:
         while self._prefixes:
-            self._tell('evicted', self._prefixes.popitem()[0])
+            self._emit('evicted', self._prefixes.popitem()[0])
 
     def events(self, after: int) -> dict[str, Any]:
-        known_until = time.monotonic() - self.event_lag_s
-        shown = [each for at, each in self._events if at <= known_until]
+        visible_until = time.monotonic() - self.event_lag_s
+        shown = [each for at, each in self._events if at <= visible_until]
         last = shown[-1]['seq'] if shown else 0
         later = [each for each in shown if each['seq'] > after]
         return {'events': later, 'last': last}
 
-    def _tell(self, kind: str, prefix: str) -> None:
+    def _emit(self, kind: str, prefix: str) -> None:
         self._seq += 1
-        if self._rng.random() >= _GAP_SHARE:
+        if self._rng.random() >= _EVENT_LOSS_PROBABILITY:
             event = {'seq': self._seq, 'kind': kind, 'prefix': prefix}
             self._events.append((time.monotonic(), event))
 
 
 @define(eq=False)
 class Batch:
-    """The queue and the running requests; each step adds a token to each."""
+    """Queued and running requests; a step adds a token to each running one."""
 
     slots: int
     token_interval_s: float
     prefill_s: float
     cache: PrefixCache
-    note: Callable[[Mapping[str, Any]], None]
+    append_journal: Callable[[Mapping[str, Any]], None]
     version: str = ''
     runs: list[Run] = field(factory=list)
     tokens: int = 0
@@ -134,7 +134,7 @@
         return {'running': len(self._running), 'queued': len(self._queue)}
 
     def stop(self, run: Run, state: str) -> bool:
-        """End a run early; False when it has ended already."""
+        """End a run early; return whether it was still queued or running."""
         if run in self._queue:
             self._queue.remove(run)
         elif run in self._running:
@@ -150,13 +150,13 @@
         return any([self.stop(run, 'cancelled') for run in found])
 
     async def step(self) -> None:
-        """Wait for work, then give each running request a token."""
+        """Wait for work, then add a token to each running request."""
         if not self._running and not self._queue:
             self._wake.clear()
             await self._wake.wait()
         while self._queue and len(self._running) < self.slots:
-            self._start(min(self._queue, key=Run.rank))
-        slowdown = 1 + _BATCH_SLOWDOWN * (len(self._running) - 1)
+            self._start(min(self._queue, key=Run.priority_key))
+        slowdown = 1 + _SLOWDOWN_PER_REQUEST * (len(self._running) - 1)
         await asyncio.sleep(self.token_interval_s * slowdown)
         now = time.monotonic()
         ready = [run for run in self._running if run.ready_at <= now]
@@ -164,13 +164,13 @@
             self._advance(run)
 
     def _start(self, run: Run) -> None:
-        hit = self.cache.use(run.prompt)
-        prefill_s = self.prefill_s * (_HIT_SHARE if hit else 1)
+        hit = self.cache.touch(run.prompt)
+        prefill_s = self.prefill_s * (_HIT_PREFILL_SHARE if hit else 1)
         run.ready_at = time.monotonic() + prefill_s
         run.state = 'started'
         self._queue.remove(run)
         self._running.append(run)
-        self.note(run.books())
+        self.append_journal(run.log_entry())
 
     def _advance(self, run: Run) -> None:
         if run.next_index() < run.end:
@@ -183,4 +183,4 @@
     def _end(self, run: Run, state: str) -> None:
         run.state = state if run.state == 'started' else f'{state}_unstarted'
         run.events.put_nowait(None)
-        self.note(run.books())
+        self.append_journal(run.log_entry())
--- a/packages/standins/src/crowrudder_standins/_faults.py
+++ b/packages/standins/src/crowrudder_standins/_faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test switches on in a stand-in, and how calls end early."""
+"""Fault injection for the stand-ins, and the errors that end a call early."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RefusedError(Exception):
-    """A call that is refused with a status and an error."""
+    """Refuses a call with a status and an error."""
 
     def __init__(self, status: int, error: str, **more: Any) -> None:
         super().__init__(error)
@@ -18,14 +18,14 @@
 
 
 class DropError(Exception):
-    """The connection is to be closed without an end of the answer."""
+    """Closes the connection before the answer is complete."""
 
 
 @define
 class Fault:
-    """A fault that hits ``count`` more requests, or all when it is None.
+    """A fault that affects ``count`` more requests, or all when it is None.
 
-    ``amount`` is in seconds, a share or a revision, as the fault needs it;
+    ``amount`` is in seconds, a share or a revision, depending on the fault;
     0 means the stand-in's default.
     """
 
@@ -36,7 +36,7 @@
 
 @define
 class FaultSwitch:
-    """The faults that are on, and those who wait for one to end."""
+    """The active faults; lets calls wait until one is switched off."""
 
     active: dict[str, Fault] = field(factory=dict)
     _changed: asyncio.Event = field(factory=asyncio.Event)
@@ -46,8 +46,8 @@
 
     def switch_off(self, name: str) -> None:
         """Switch a fault off, or all of them for an empty name."""
-        for each in [name] if name else list(self.active):
-            self.active.pop(each, None)
+        for fault_name in [name] if name else list(self.active):
+            self.active.pop(fault_name, None)
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -55,7 +55,7 @@
         return self.active.get(name)
 
     def take(self, name: str) -> Fault | None:
-        """Return the fault if it hits this request, and count the hit."""
+        """Return the fault if it affects this request, and count the request."""
         fault = self.active.get(name)
         if fault is not None and fault.count is not None:
             fault.count -= 1
@@ -63,11 +63,11 @@
                 self.switch_off(name)
         return fault
 
-    async def wait_off(self, name: str) -> None:
+    async def wait_cleared(self, name: str) -> None:
         while name in self.active:
             await self._changed.wait()
 
 
-def spoil(chunk: bytes) -> bytes:
+def flip_first_bit(chunk: bytes) -> bytes:
     """Flip a bit of the first byte."""
     return bytes((chunk[0] ^ 1,)) + chunk[1:]
--- a/packages/standins/src/crowrudder_standins/_serving.py
+++ b/packages/standins/src/crowrudder_standins/_serving.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: the HTTP server, control calls and the journal."""
+"""Base of the stand-ins: HTTP server, control calls and journal."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
     RefusedError,
 )
 
-_MAX_BYTES = 1 << 30
-_APPEND = os.O_WRONLY | os.O_APPEND | os.O_CREAT
+_MAX_BODY_BYTES = 1 << 30
+_APPEND_FLAGS = os.O_WRONLY | os.O_APPEND | os.O_CREAT
 Answer = dict[str, Any] | None
 _Endpoint = Callable[..., Awaitable[Answer]]
 
 
 def route(method: str, path: str) -> Callable[[_Endpoint], _Endpoint]:
-    """Mark the coroutine that answers a call; ``*`` is any method."""
+    """Register a coroutine as the handler of a route; ``*`` is any method."""
 
-    def mark(endpoint: _Endpoint) -> _Endpoint:
+    def decorate(endpoint: _Endpoint) -> _Endpoint:
         endpoint.route = (method, path)  # type: ignore[attr-defined]
         return endpoint
 
-    return mark
+    return decorate
 
 
 class Standin:
-    """Base of the stand-ins: options, faults, books and the journal."""
+    """Base of the stand-ins: options, faults, request log and journal."""
 
     fault_names: tuple[str, ...] = ()
 
@@ -46,25 +46,25 @@
         self.options = options
         self.faults = FaultSwitch()
         path = options.get('--journal')
-        self._journal = os.open(path, _APPEND) if path else None
+        self._journal = os.open(path, _APPEND_FLAGS) if path else None
 
-    def note(self, record: Mapping[str, Any]) -> None:
-        """Add a line to the journal, the books that outlive a killed process."""
+    def append_journal(self, record: Mapping[str, Any]) -> None:
+        """Append a line to the journal file, which survives a killed process."""
         if self._journal is not None:
             os.write(self._journal, json.dumps(record).encode() + b'\n')
 
-    def books(self) -> dict[str, Any]:
+    def request_log(self) -> dict[str, Any]:
         raise NotImplementedError
 
     def on_fault(self, fault: Fault) -> None:
-        """React to a fault that acts at once."""
+        """Apply a fault that takes effect when it is switched on."""
 
     async def run(self) -> None:
-        """Work beside the calls."""
+        """Run background work."""
 
     @route('GET', '/control/books')
-    async def get_books(self, call: Call) -> Answer:
-        return self.books()
+    async def get_request_log(self, call: Call) -> Answer:
+        return self.request_log()
 
     @route('POST', '/control/faults')
     async def post_fault(self, call: Call) -> Answer:
@@ -82,9 +82,9 @@
 
 
 class Call(RequestHandler):
-    """One HTTP call, handed to the coroutine of its route.
+    """One HTTP call, handled by the coroutine of its route.
 
-    The coroutine returns the JSON answer, or None if it has answered.
+    The coroutine returns the JSON answer, or None if it sent one itself.
     """
 
     def initialize(
@@ -92,10 +92,10 @@
     ) -> None:
         self._standin = standin
         self._routes = routes
-        self.on_leave: Callable[[], object] = str
+        self.on_disconnect: Callable[[], object] = str
 
     def on_connection_close(self) -> None:
-        self.on_leave()
+        self.on_disconnect()
 
     def body_json(self) -> dict[str, Any]:
         return dict(json.loads(self.request.body))
@@ -126,7 +126,7 @@
         if endpoint is None:
             raise RefusedError(405, 'method')
         if not self.request.path.startswith('/control/'):
-            await self._standin.faults.wait_off('freeze')
+            await self._standin.faults.wait_cleared('freeze')
         try:
             return await endpoint(self, *args)
         except (ValueError, KeyError, TypeError) as exc:
@@ -141,7 +141,7 @@
 
 
 def application(standin: Standin) -> Application:
-    """Return the stand-in's calls, for a server."""
+    """Return the Tornado application with the stand-in's routes."""
     by_path: dict[str, dict[str, _Endpoint]] = {}
     for name in dir(type(standin)):
         endpoint = getattr(standin, name)
@@ -162,12 +162,14 @@
     http = application(standin).listen(
         int(options['--port']),
         options['--address'],
-        max_body_size=_MAX_BYTES,
-        max_buffer_size=_MAX_BYTES,
+        max_body_size=_MAX_BODY_BYTES,
+        max_buffer_size=_MAX_BODY_BYTES,
     )
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(
+            signal_number, stopped.set
+        )
     work = asyncio.create_task(standin.run())
     await stopped.wait()
     work.cancel()
--- a/packages/standins/src/crowrudder_standins/_slots.py
+++ b/packages/standins/src/crowrudder_standins/_slots.py
@@ -1,4 +1,4 @@
-"""The slots of an engine, and the queue in front of them."""
+"""The request slots of an engine and their waiting queue."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 
 class Slots:
-    """Who runs and who waits; a load refuses all that wait.
+    """Counts running requests and queues others; a load refuses the queue.
 
     Parameters
     ----------
     count
-        Requests that run at once.
+        Maximum number of running requests.
     places
-        Requests that wait at the most.
+        Maximum number of queued requests.
 
-    ``seen`` counts those that waited, and those of them that a load refused
-    or that left.
+    ``seen`` counts the requests that waited, and those of them that a load
+    refused or whose caller disconnected.
     """
 
     def __init__(self, count: int, places: int = 0) -> None:
@@ -32,33 +32,35 @@
 
     @property
     def queued(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
         return len(self._waiting)
 
     def take(self) -> asyncio.Future[bool]:
-        """Give what comes true with a slot; false: there is none to be had."""
-        turn: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        """Return a future: true once a slot is acquired, false if refused."""
+        granted: asyncio.Future[bool] = (
+            asyncio.get_running_loop().create_future()
+        )
         if self.is_closed:
-            turn.set_result(False)
+            granted.set_result(False)
         elif self.running < self.count:
             self._begin()
-            turn.set_result(True)
+            granted.set_result(True)
         elif self.queued >= self.places:
-            turn.set_result(False)
+            granted.set_result(False)
         else:
-            self._waiting.append(turn)
+            self._waiting.append(granted)
             self.seen['waited'] += 1
-        return turn
+        return granted
 
-    def leave(self, turn: asyncio.Future[bool]) -> None:
-        """Refuse one that waits and whose caller has left."""
-        if turn in self._waiting:
-            self._waiting.remove(turn)
+    def leave(self, granted: asyncio.Future[bool]) -> None:
+        """Refuse a queued request whose caller has disconnected."""
+        if granted in self._waiting:
+            self._waiting.remove(granted)
             self.seen['left'] += 1
-            turn.set_result(False)
+            granted.set_result(False)
 
     def release(self) -> None:
-        """Give a slot back, to whoever waits first."""
+        """Release a slot to the first queued request, if any."""
         self.running -= 1
         if self._waiting:
             self._begin()
@@ -67,18 +69,18 @@
             self._idle.set()
 
     def close(self) -> None:
-        """Let nothing begin any more, and refuse all that wait."""
+        """Accept no more requests, and refuse all queued ones."""
         self.is_closed = True
         while self._waiting:
             self.seen['refused'] += 1
             self._waiting.popleft().set_result(False)
 
     def open(self) -> None:
-        """Let requests begin again."""
+        """Accept requests again."""
         self.is_closed = False
 
     async def until_idle(self) -> None:
-        """Wait until nothing runs."""
+        """Wait until no request runs."""
         await self._idle.wait()
 
     def _begin(self) -> None:
--- a/packages/standins/src/crowrudder_standins/engine.py
+++ b/packages/standins/src/crowrudder_standins/engine.py
@@ -37,19 +37,19 @@
     Fault,
     FaultSwitch,
     RefusedError,
-    spoil,
+    flip_first_bit,
 )
 from crowrudder_standins._serving import Answer, Call, Standin, route
 
-_LATE_S = 5.0
-_REPORT_S = 0.02
+_DEFAULT_DELAY_S = 5.0
+_REPORT_INTERVAL_S = 0.02
 
 
 class Engine(Standin):
-    """The loaded weights and the batch.
+    """Loads weights and runs requests in a batch.
 
-    ``shown`` is what the engine says of itself; after the fault
-    ``lie_about_load`` it differs from the weights that make the tokens.
+    ``shown`` is the state that the engine reports; after the fault
+    ``lie_about_load`` it differs from the weights that generate the tokens.
     """
 
     fault_names = (
@@ -65,7 +65,7 @@
             token_interval_s=float(options['--token-interval']),
             prefill_s=float(options['--prefill']),
             cache=PrefixCache(cache_size, float(options['--event-lag'])),
-            note=self.note,
+            append_journal=self.append_journal,
         )
         self.load_lag_s = float(options['--load-lag'])
         self.fence = 0
@@ -74,12 +74,12 @@
         self.staged: dict[str, dict[int, bytes]] = {}
         self.loads: list[dict[str, Any]] = []
         self.refused: list[dict[str, Any]] = []
-        self._ordering = asyncio.Lock()
+        self._order_lock = asyncio.Lock()
         self._reports: deque[tuple[float, dict[str, Any]]] = deque()
 
-    def books(self) -> dict[str, Any]:
+    def request_log(self) -> dict[str, Any]:
         return {
-            'runs': [run.books() for run in self.batch.runs],
+            'runs': [run.log_entry() for run in self.batch.runs],
             'loads': self.loads,
             'refused': self.refused,
         }
@@ -99,7 +99,7 @@
     async def put_chunk(self, call: Call, version: str, index: str) -> Answer:
         chunk = call.request.body
         if self.faults.take('corrupt_chunk'):
-            chunk = spoil(chunk)
+            chunk = flip_first_bit(chunk)
         self.staged.setdefault(version, {})[int(index)] = chunk
         call.set_status(204)
         return None
@@ -108,7 +108,7 @@
     async def post_order(self, call: Call) -> Answer:
         order = call.body_json()
         try:
-            return await self._carry_out(order)
+            return await self._execute(order)
         except RefusedError as exc:
             self.refused.append({**order, **exc.answer})
             raise
@@ -118,10 +118,10 @@
         order = call.body_json()
         self._check_loaded(order)
         run = self.batch.submit(order)
-        # Engines end a run whose reader has gone.
-        call.on_leave = partial(self.batch.stop, run, 'left')
-        if late := self.faults.take('answer_late'):
-            await asyncio.sleep(late.amount or _LATE_S)
+        # Engines stop a run when its reader disconnects.
+        call.on_disconnect = partial(self.batch.stop, run, 'left')
+        if delay_fault := self.faults.take('answer_late'):
+            await asyncio.sleep(delay_fault.amount or _DEFAULT_DELAY_S)
         call.set_header('Content-Type', 'text/event-stream')
         try:
             await Stream(call, run, self.faults).send()
@@ -143,8 +143,8 @@
         return self.batch.cache.events(int(call.number('after', '0')))
 
     def report(self) -> dict[str, Any]:
-        known_until = time.monotonic() - self.load_lag_s
-        while len(self._reports) > 1 and self._reports[1][0] <= known_until:
+        visible_until = time.monotonic() - self.load_lag_s
+        while len(self._reports) > 1 and self._reports[1][0] <= visible_until:
             self._reports.popleft()
         at, report = self._reports[0]
         return {**report, 'age_s': round(time.monotonic() - at, 4)}
@@ -154,20 +154,20 @@
 
     async def _run_batch(self) -> None:
         while True:
-            await self.faults.wait_off('freeze')
+            await self.faults.wait_cleared('freeze')
             await self.batch.step()
 
     async def _run_reports(self) -> None:
-        """Note the load every few milliseconds, to be read late."""
+        """Record the load periodically; it is reported with a lag."""
         tokens = 0
         while True:
-            rate = (self.batch.tokens - tokens) / _REPORT_S
+            rate = (self.batch.tokens - tokens) / _REPORT_INTERVAL_S
             tokens = self.batch.tokens
             counts = {**self.batch.counts(), 'slots': self.batch.slots}
             report = {**counts, 'tokens_per_s': rate}
             self._reports.append((time.monotonic(), report))
             self.report()
-            await asyncio.sleep(_REPORT_S)
+            await asyncio.sleep(_REPORT_INTERVAL_S)
 
     def _check_loaded(self, order: dict[str, Any]) -> None:
         wanted = (order.get('model'), order.get('version'))
@@ -175,8 +175,8 @@
         loaded = (self.shown['model'], self.shown['version'])
         if wanted != loaded or adapter not in ('', *self.adapters):
             raise RefusedError(409, 'not_loaded')
-        room = self.batch.slots + int(self.options['--queue'])
-        if sum(self.batch.counts().values()) >= room:
+        max_requests = self.batch.slots + int(self.options['--queue'])
+        if sum(self.batch.counts().values()) >= max_requests:
             raise RefusedError(429, 'full')
 
     def _check_fence(self, order: dict[str, Any]) -> None:
@@ -186,9 +186,9 @@
             raise RefusedError(409, 'stale_fence', fence=self.fence)
         self.fence = int(order['fence'])
 
-    async def _carry_out(self, order: dict[str, Any]) -> Answer:
+    async def _execute(self, order: dict[str, Any]) -> Answer:
         self._check_fence(order)
-        async with self._ordering:
+        async with self._order_lock:
             self._check_fence(order)
             match order['order']:
                 case 'load':
@@ -206,46 +206,46 @@
             return self.state()
 
     async def _load(self, order: dict[str, Any]) -> Answer:
-        ordered = {'model': order['model'], 'version': order['version']}
-        if ordered.items() <= self.shown.items():
+        target = {'model': order['model'], 'version': order['version']}
+        if target.items() <= self.shown.items():
             return self.state()
         self.shown.update(loading=order['version'])
         try:
             await self._read_staged(order)
         finally:
             self.shown.update(loading='')
-        self.loads.append({**ordered, 'fence': order['fence']})
-        lie = self.faults.take('lie_about_load')
-        if lie is not None and not lie.amount:
-            return {**self.state(), **ordered}
-        if lie is None:
+        self.loads.append({**target, 'fence': order['fence']})
+        load_fault = self.faults.take('lie_about_load')
+        if load_fault is not None and not load_fault.amount:
+            return {**self.state(), **target}
+        if load_fault is None:
             self.batch.version = order['version']
             self.batch.cache.clear()
         self.adapters = []
-        self.shown.update(ordered)
+        self.shown.update(target)
         return self.state()
 
     async def _read_staged(self, order: dict[str, Any]) -> None:
-        """Verify what was staged against the digest of the whole."""
+        """Verify the staged chunks against the digest of the version."""
         await asyncio.sleep(float(self.options['--load-s']))
         chunks = self.staged.pop(order['version'], {})
-        whole = b''.join(
+        content = b''.join(
             chunks.get(index, b'') for index in range(int(order['chunks']))
         )
-        if hashlib.sha256(whole).hexdigest() != order['digest']:
+        if hashlib.sha256(content).hexdigest() != order['digest']:
             raise RefusedError(422, 'bad_weights')
 
 
 class Stream:
-    """The answer to one run, with the faults of midway."""
+    """The event stream of one run, with the faults that occur midway."""
 
     def __init__(self, call: Call, run: Run, faults: FaultSwitch) -> None:
         self._call = call
         self._run = run
         self._faults = faults
-        self._shown_id, self._prompt = run.request_id, run.prompt
+        self._response_id, self._prompt = run.request_id, run.prompt
         if faults.take('answer_crossed'):
-            self._shown_id, self._prompt = f'{run.request_id}-other', 'other'
+            self._response_id, self._prompt = f'{run.request_id}-other', 'other'
 
     async def send(self) -> None:
         run = self._run
@@ -254,8 +254,8 @@
         while (token := await run.events.get()) is not None:
             version, index = token
             if index == fault_at:
-                await self._meet_faults()
-            await self._faults.wait_off('freeze')
+                await self._apply_faults()
+            await self._faults.wait_cleared('freeze')
             text = token_text(version, index, self._prompt)
             shown = {'version': version, 'index': index, 'text': text}
             await self._send_event('token', shown)
@@ -264,16 +264,16 @@
         tokens = run.next_index()
         await self._send_event('done', {'version': version, 'tokens': tokens})
 
-    async def _meet_faults(self) -> None:
+    async def _apply_faults(self) -> None:
         if self._faults.take('stall'):
-            await self._faults.wait_off('stall')
+            await self._faults.wait_cleared('stall')
         if self._faults.take('corrupt_text'):
             await self._call.send('event: token\ndata: {"request_id": \0\n\n')
         if self._faults.take('cut'):
             raise DropError
 
     async def _send_event(self, event: str, shown: dict[str, Any]) -> None:
-        body = json.dumps({'request_id': self._shown_id, **shown})
+        body = json.dumps({'request_id': self._response_id, **shown})
         await self._call.send(f'event: {event}\ndata: {body}\n\n')
 
 
--- a/packages/standins/src/crowrudder_standins/fleet_origin.py
+++ b/packages/standins/src/crowrudder_standins/fleet_origin.py
@@ -22,16 +22,16 @@
 from collections.abc import Mapping
 from typing import Any
 
-from crowrudder_standins._faults import DropError, RefusedError, spoil
+from crowrudder_standins._faults import DropError, RefusedError, flip_first_bit
 from crowrudder_standins._serving import Answer, Call, Standin, route, run
 from crowrudder_standins.origin import Pacer
 
 
 class FleetOrigin(Standin):
-    """Versions made of a seed each; the newest named one by default.
+    """Generates versions from seeds; serves the newest by default.
 
-    Faults: ``down`` drops calls, ``corrupt`` spoils pieces, ``wrong_digest``
-    gives a wrong digest.
+    Faults: ``down`` drops calls, ``corrupt`` flips a bit in pieces,
+    ``wrong_digest`` returns a wrong digest.
     """
 
     fault_names = ('down', 'corrupt', 'wrong_digest')
@@ -46,11 +46,11 @@
         self.pacer = Pacer(float(options.get('--rate') or 0))
 
     def piece(self, version: int, index: int) -> bytes:
-        """Give a piece of a version."""
+        """Return a piece of a version."""
         seed = f'{self.model}/{version}/{index}'
         return random.Random(seed).randbytes(self.size)
 
-    def books(self) -> dict[str, Any]:
+    def request_log(self) -> dict[str, Any]:
         return {'reads': self.reads}
 
     @route('GET', '/-/manifest/([^/]+)')
@@ -75,9 +75,9 @@
         version = self._version(call, model)
         payload = self.piece(version, int(call.number('sample_count')))
         self.reads[version] += 1
-        await self.pacer.wait_turn(self.size)
+        await self.pacer.acquire(self.size)
         if self.faults.take('corrupt'):
-            payload = spoil(payload)
+            payload = flip_first_bit(payload)
         await call.finish(payload)
         return None
 
--- a/packages/standins/src/crowrudder_standins/fleet_replica.py
+++ b/packages/standins/src/crowrudder_standins/fleet_replica.py
@@ -31,8 +31,8 @@
 from crowrudder_standins._serving import Answer, Call, Standin, route, run
 from crowrudder_standins._slots import Slots
 
-EVENT_S = 0.01
-LOAD_S = 0.05
+EVENT_INTERVAL_S = 0.01
+LOAD_DURATION_S = 0.05
 LAYERS = 16
 EVENTS = 6
 SEAL = 'X-Replica-Seal'
@@ -42,7 +42,7 @@
 
 @define
 class Run:
-    """A request that began here."""
+    """A request that this replica started to run."""
 
     request_id: str
     method: str
@@ -56,24 +56,26 @@
 
 
 class FleetReplica(Standin):
-    """Runs requests and keeps books of each.
-
-    Faults, each on its next requests: ``full`` refuses, ``fail`` runs and
-    answers 500, ``cut`` breaks off midway, ``lost`` runs and closes without
-    an answer, ``hang`` runs and never answers, ``extra`` answers twice,
-    ``crossed`` answers first for another request, ``unvouched`` leaves the
-    seal out, ``half_event`` breaks off within an event, ``slow`` waits for
-    ``amount`` seconds before it answers, ``head_alone`` sends nothing after
-    the head of its answer. ``rot`` spoils a staged piece.
-
-    A ``limit_per_s`` that isn't empty is named in each answer, as it is;
-    ``arrivals`` are the times and ids of all requests.
-
-    A body with ``fatal_mark`` ends the replica as it begins to run: `on_fatal`
-    has to close its connections, and to bring its next life.
+    """Runs requests and records each run.
+
+    Faults, each applied to its next requests: ``full`` refuses, ``fail`` runs
+    and answers 500, ``cut`` drops the connection midway, ``lost`` runs and
+    closes without an answer, ``hang`` runs and never answers, ``extra``
+    answers twice, ``crossed`` first sends the answer to another request,
+    ``unvouched`` omits the seal, ``half_event`` drops the connection within an
+    event, ``slow`` waits for ``amount`` seconds before it answers,
+    ``head_alone`` sends nothing after the headers. ``rot`` corrupts a staged
+    piece.
+
+    A non-empty ``limit_per_s`` is sent with each answer, unchanged;
+    ``arrivals`` holds the time and id of every request.
+
+    A request whose body contains ``fatal_marker`` crashes the replica when its
+    run starts: `on_fatal` must close the connections and start the next
+    incarnation.
     """
 
-    fatal_mark = b'fatal'
+    fatal_marker = b'fatal'
 
     fault_names = (
         'full',
@@ -109,12 +111,12 @@
         self.limit_per_s = ''
         self.arrivals: list[tuple[float, str]] = []
         self.on_fatal: Callable[[], object] | None = None
-        self._jobs: set[asyncio.Task[None]] = set()
+        self._load_tasks: set[asyncio.Task[None]] = set()
 
     def entry(
         self, service: str, address: str, zone: str, state: str = 'ready'
     ) -> dict[str, Any]:
-        """Give the entry by which it registers itself."""
+        """Return the entry with which the replica registers itself."""
         models = [{'name': self.model, 'version': self.weights}]
         entry = {
             'service': service,
@@ -126,26 +128,26 @@
             'cold_left_ms': 0,
             'seq': 1,
             'models': models if self.model else [],
-            'layers': self._held(),
+            'layers': self._held_layers(),
         }
         return {**entry, 'born': self.born} if self.born else entry
 
     @property
     def whole_weights(self) -> int:
-        """The version of which it holds all layers; 0 for none."""
+        """The version that it holds all layers of, or 0."""
         return self.weights if self.layers == (0, LAYERS) else 0
 
-    def _held(self) -> dict[str, int] | None:
+    def _held_layers(self) -> dict[str, int] | None:
         first, end = self.layers
         if not self.weights:
             return None
         return {'from': first, 'target': end, 'version': self.weights}
 
     def runs_of(self, request_id: str) -> list[Run]:
-        """Give the runs of one request."""
+        """Return the runs of one request."""
         return [each for each in self.runs if each.request_id == request_id]
 
-    def books(self) -> dict[str, Any]:
+    def request_log(self) -> dict[str, Any]:
         return {
             'id': self.id,
             'weights': self.weights,
@@ -163,7 +165,7 @@
             'models': [
                 {'name': self.model, 'version': self.weights, 'adapters': []},
             ],
-            'layers': self._held(),
+            'layers': self._held_layers(),
             'busy': self.is_busy,
             'seq': len(self.orders),
             'queued': self.places.queued,
@@ -205,9 +207,11 @@
         self.is_busy = True
         self.places.close()
         layers = (int(order.get('from', 0)), int(order.get('target', LAYERS)))
-        job = asyncio.ensure_future(self._load(int(order['version']), layers))
-        self._jobs.add(job)
-        job.add_done_callback(self._jobs.discard)
+        load_task = asyncio.ensure_future(
+            self._load(int(order['version']), layers)
+        )
+        self._load_tasks.add(load_task)
+        load_task.add_done_callback(self._load_tasks.discard)
         call.set_status(202)
         return {}
 
@@ -222,28 +226,28 @@
         self.arrivals.append((time.monotonic(), request_id))
         if self.limit_per_s:
             call.set_header(LIMIT, self.limit_per_s)
-        self._refuse_foreign(call)
+        self._check_expectations(call)
         if self.faults.take('full'):
             raise self._refusal(call, 503, 'full')
-        turn = self.places.take()
-        call.on_leave = partial(self.places.leave, turn)
-        if not await turn:
+        granted = self.places.take()
+        call.on_disconnect = partial(self.places.leave, granted)
+        if not await granted:
             raise self._refusal(call, 503, 'full')
         try:
-            await self._answer(call, self._begin(call))
+            await self._answer(call, self._record_run(call))
         finally:
             self.places.release()
         return None
 
     async def _load(self, version: int, layers: tuple[int, int]) -> None:
         await self.places.until_idle()
-        await asyncio.sleep(LOAD_S)
+        await asyncio.sleep(LOAD_DURATION_S)
         self.weights = version
         self.layers = layers
         self.is_busy = False
         self.places.open()
 
-    def _refuse_foreign(self, call: Call) -> None:
+    def _check_expectations(self, call: Call) -> None:
         headers = call.request.headers
         if headers.get('X-Expect-Replica', self.id) != self.id:
             raise self._refusal(call, 421, 'other replica')
@@ -253,7 +257,7 @@
         path = headers.get('Path', '')
         if path:
             self.paths.append(path)
-        first, end = _own_layers(path)
+        first, end = _first_stage_layers(path)
         is_held = self.layers[0] <= first and end <= self.layers[1]
         if self.model and not is_held:
             raise self._refusal(call, 421, 'other layers')
@@ -264,9 +268,9 @@
         call.set_header(REQUEST_ID, call.request.headers.get(REQUEST_ID, ''))
         return RefusedError(status, reason)
 
-    def _begin(self, call: Call) -> Run:
+    def _record_run(self, call: Call) -> Run:
         request = call.request
-        began = Run(
+        run_record = Run(
             request_id=request.headers.get(REQUEST_ID, ''),
             method=request.method or '',
             target=request.uri or '',
@@ -275,72 +279,75 @@
             resumed_after=int(request.headers.get('Last-Event-Id') or 0),
             weights=self.weights,
         )
-        self.runs.append(began)
-        self.note({'replica': self.id, 'run': began.request_id})
-        return began
+        self.runs.append(run_record)
+        self.append_journal({'replica': self.id, 'run': run_record.request_id})
+        return run_record
 
-    async def _answer(self, call: Call, began: Run) -> None:
-        if self.on_fatal is not None and self.fatal_mark in began.body:
-            began.ended = 'crashed'
+    async def _answer(self, call: Call, run_record: Run) -> None:
+        if self.on_fatal is not None and self.fatal_marker in run_record.body:
+            run_record.ended = 'crashed'
             self.on_fatal()
             raise DropError
-        if slow := self.faults.take('slow'):
-            await asyncio.sleep(slow.amount)
+        if delay_fault := self.faults.take('slow'):
+            await asyncio.sleep(delay_fault.amount)
         if self.faults.take('lost'):
             raise DropError
         if self.faults.take('hang'):
-            await self.faults.wait_off('hang')
+            await self.faults.wait_cleared('hang')
             raise DropError
         if self.faults.take('crossed'):
-            await self._write_raw(call, _stray())
-        call.set_header(REQUEST_ID, began.request_id)
+            await self._write_raw(call, _mismatched_answer())
+        call.set_header(REQUEST_ID, run_record.request_id)
         if not self.faults.take('unvouched'):
-            call.set_header(SEAL, seal_of(self.id, began.request_id))
+            call.set_header(SEAL, seal_of(self.id, run_record.request_id))
         if self.faults.take('fail'):
             call.set_status(500)
             await call.finish(b'failed')
             return
         if self.model:
-            await self._stream(call, began)
+            await self._stream(call, run_record)
         else:
-            await self._plain(call, began)
-        began.ended = 'whole'
+            await self._plain(call, run_record)
+        run_record.ended = 'whole'
         if self.faults.take('extra'):
-            await self._write_raw(call, _stray())
+            await self._write_raw(call, _mismatched_answer())
 
-    async def _plain(self, call: Call, began: Run) -> None:
-        body = body_of(began.request_id)
+    async def _plain(self, call: Call, run_record: Run) -> None:
+        body = body_of(run_record.request_id)
         if self.faults.take('cut'):
             call.set_header('Content-Length', str(len(body) + 9))
             await call.send(body)
             raise DropError
         await call.finish(body)
 
-    async def _stream(self, call: Call, began: Run) -> None:
+    async def _stream(self, call: Call, run_record: Run) -> None:
         call.set_header('Content-Type', 'text/event-stream')
         if self.faults.take('head_alone'):
             await call.flush()
-            await self.faults.wait_off('head_alone')
+            await self.faults.wait_cleared('head_alone')
             raise DropError
-        for number in range(began.resumed_after + 1, EVENTS + 1):
+        for number in range(run_record.resumed_after + 1, EVENTS + 1):
             if number > 2 and self.faults.take('cut'):
                 raise DropError
-            event = event_of(began.request_id, number)
+            event = event_of(run_record.request_id, number)
             if number > 2 and self.faults.take('half_event'):
                 await call.send(event[: len(event) // 2])
                 raise DropError
             await call.send(event)
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
         await call.finish()
 
     async def _write_raw(self, call: Call, text: bytes) -> None:
-        """Write bytes beside the answer, as a faulty replica does."""
+        """Write raw bytes to the connection, outside the HTTP answer."""
         conn: Any = call.request.connection
         await conn.stream.write(text)
 
 
-def _own_layers(path: str) -> tuple[int, int]:
-    """Give the layers that the first of a path runs; all without a path."""
+def _first_stage_layers(path: str) -> tuple[int, int]:
+    """Return the layer range of the pipeline's first stage.
+
+    Without a pipeline, return all layers.
+    """
     if not path:
         return 0, LAYERS
     layers = path.partition(',')[0].partition('=')[2]
@@ -349,30 +356,30 @@
 
 
 def body_of(request_id: str) -> bytes:
-    """Give the whole answer to a plain request."""
+    """Return the complete answer to a plain request."""
     return hashlib.sha256(request_id.encode()).hexdigest().encode()
 
 
 def event_of(request_id: str, number: int) -> bytes:
-    """Give one event of a request's stream."""
+    """Return one event of a request's stream."""
     text = hashlib.sha256(f'{request_id}/{number}'.encode()).hexdigest()
     return f'id: {number}\ndata: {text}\n\n'.encode()
 
 
 def stream_of(request_id: str) -> bytes:
-    """Give the whole stream of a request."""
+    """Return the complete stream of a request."""
     return b''.join(
         event_of(request_id, number) for number in range(1, EVENTS + 1)
     )
 
 
 def seal_of(replica_id: str, request_id: str) -> str:
-    """Give what a replica vouches with."""
+    """Return the seal that authenticates an answer of the replica."""
     text = f'{replica_id}/{request_id}'.encode()
     return hashlib.sha256(text).hexdigest()[:16]
 
 
-def _stray() -> bytes:
+def _mismatched_answer() -> bytes:
     return (
         b'HTTP/1.1 200 OK\r\nX-Attempt-Id: somebody-elses\r\n'
         b'X-Replica-Seal: x\r\nContent-Length: 5\r\n\r\nother'
--- a/packages/standins/src/crowrudder_standins/fleet_store.py
+++ b/packages/standins/src/crowrudder_standins/fleet_store.py
@@ -22,15 +22,15 @@
 from crowrudder_standins._serving import Answer, Call, Standin, route, run
 
 PAGE_ITEMS = 50
-_MS = 1000.0
-_HISTORY = 1000
+_MS_PER_S = 1000.0
+_MAX_HISTORY = 1000
 
 
 @define
 class Record:
-    """A value as it was written, or the mark of one that was taken away.
+    """A revision of a value, or a tombstone (value None).
 
-    ``text`` is shown in place of a value, as it stands.
+    ``text`` is returned in place of an encoded value, unchanged.
     """
 
     key: str
@@ -55,8 +55,8 @@
     """Records, one revision counter, and a bounded history of changes.
 
     Faults: ``down`` drops calls, ``busy`` refuses them, ``slow`` delays them
-    by ``amount`` seconds, ``silent`` never answers, ``garbage`` answers what
-    is no answer.
+    by ``amount`` seconds, ``silent`` never answers, ``garbage`` answers
+    malformed JSON.
     """
 
     fault_names = ('down', 'busy', 'slow', 'silent', 'garbage')
@@ -66,38 +66,38 @@
         self.revision = 1
         self.records: dict[str, Record] = {}
         self.history: list[Record] = []
-        self.forgotten = 0
+        self.compacted_to = 0
         self.calls: Counter[str] = Counter()
         self._changed = asyncio.Event()
 
     def put(self, key: str, value: bytes) -> int:
         """Write a record."""
-        made = self.records.get(key)
-        created = made.create_revision if made else self.revision + 1
+        previous = self.records.get(key)
+        created = previous.create_revision if previous else self.revision + 1
         return self._change(
             Record(key, self.revision + 1, value, created), remove=False
         )
 
     def put_text(self, key: str, text: str) -> int:
-        """Write a record whose value is shown as this text."""
-        made = Record(key, self.revision + 1, b'', self.revision + 1, text)
-        return self._change(made, remove=False)
+        """Write a record whose value is returned as this text."""
+        record = Record(key, self.revision + 1, b'', self.revision + 1, text)
+        return self._change(record, remove=False)
 
     def remove(self, key: str) -> int:
-        """Take a record away."""
+        """Remove a record and append a tombstone to the history."""
         return self._change(Record(key, self.revision + 1, None), remove=True)
 
     def compact(self) -> None:
-        """Forget all changes so far."""
-        self.forgotten = self.revision
+        """Drop the history of changes up to the current revision."""
+        self.compacted_to = self.revision
         self.history.clear()
 
-    def books(self) -> dict[str, Any]:
+    def request_log(self) -> dict[str, Any]:
         return {'revision': self.revision, 'calls': self.calls}
 
     @route('GET', '/-/kv-range')
     async def on_range(self, call: Call) -> Answer:
-        await self._meet(call, 'range')
+        await self._apply_faults(call, 'range')
         prefix = call.get_query_argument('prefix', '')
         after = call.get_query_argument('after', '')
         keys = sorted(
@@ -114,11 +114,11 @@
 
     @route('GET', '/-/kv-watch')
     async def on_watch(self, call: Call) -> Answer:
-        await self._meet(call, 'watch')
+        await self._apply_faults(call, 'watch')
         prefix = call.get_query_argument('prefix', '')
         after = int(call.number('after'))
         try:
-            async with asyncio.timeout(call.number('wait_ms') / _MS):
+            async with asyncio.timeout(call.number('wait_ms') / _MS_PER_S):
                 while not (events := self._events(prefix, after)):
                     await self._changed.wait()
         except TimeoutError:
@@ -142,22 +142,22 @@
         self.compact()
         return {'revision': self.revision}
 
-    async def _meet(self, call: Call, kind: str) -> None:
-        """Let a fault meet the call."""
+    async def _apply_faults(self, call: Call, kind: str) -> None:
+        """Count the call and apply the active faults to it."""
         self.calls[kind] += 1
         if self.faults.take('down'):
             raise DropError
         if self.faults.take('busy'):
             raise RefusedError(503, 'busy')
-        if slow := self.faults.take('slow'):
-            await asyncio.sleep(slow.amount)
+        if delay_fault := self.faults.take('slow'):
+            await asyncio.sleep(delay_fault.amount)
         if self.faults.peek('silent'):
-            await self.faults.wait_off('silent')
+            await self.faults.wait_cleared('silent')
         if self.faults.take('garbage'):
             await call.finish(b'{"events": [')
 
     def _events(self, prefix: str, after: int) -> list[Record]:
-        if after < self.forgotten:
+        if after < self.compacted_to:
             raise RefusedError(410, 'history is gone')
         return [
             record
@@ -172,8 +172,8 @@
         else:
             self.records[record.key] = record
         self.history.append(record)
-        if len(self.history) > _HISTORY:
-            self.forgotten = self.history.pop(0).rev
+        if len(self.history) > _MAX_HISTORY:
+            self.compacted_to = self.history.pop(0).rev
         self._changed.set()
         self._changed = asyncio.Event()
         return record.rev
--- a/packages/standins/src/crowrudder_standins/origin.py
+++ b/packages/standins/src/crowrudder_standins/origin.py
@@ -23,26 +23,26 @@
 
 from attrs import define, field
 
-from crowrudder_standins._faults import DropError, RefusedError, spoil
+from crowrudder_standins._faults import DropError, RefusedError, flip_first_bit
 from crowrudder_standins._serving import Answer, Call, Standin, route, run
 
 _SLICE_BYTES = 16384
-_CORRUPT_SHARE = 0.1
+_CORRUPT_PROBABILITY = 0.1
 _CORRUPT_SEED = 7
 
 
 @define
 class Pacer:
-    """A rate shared over all connections.
+    """A rate limit shared by all connections.
 
-    Each connection waits for its turn slice by slice, so that a long chunk
-    can't take the whole rate for itself.
+    Connections acquire it per slice, so that one long chunk can't use the
+    whole rate.
     """
 
     rate: float
     _next_at: float = 0
 
-    async def wait_turn(self, size: int) -> None:
+    async def acquire(self, size: int) -> None:
         if self.rate:
             now = asyncio.get_running_loop().time()
             self._next_at = max(self._next_at, now) + size / self.rate
@@ -51,7 +51,7 @@
 
 @define
 class Weights:
-    """One version: its chunks, its manifest and who read them."""
+    """One version: its chunks, its manifest and read counts."""
 
     chunks: list[bytes]
     manifest: bytes
@@ -59,21 +59,26 @@
     sent_bytes: int = 0
 
     @classmethod
-    def generate(cls, version: str, size: int, step: int, seed: int) -> Weights:
-        """Make the same bytes for the same arguments, on any host."""
+    def generate(
+        cls, version: str, size: int, chunk_bytes: int, seed: int
+    ) -> Weights:
+        """Generate a version; equal arguments give equal bytes on any host."""
         rng = random.Random(seed)
-        lengths = [min(step, size - start) for start in range(0, size, step)]
+        lengths = [
+            min(chunk_bytes, size - start)
+            for start in range(0, size, chunk_bytes)
+        ]
         chunks = [rng.randbytes(length) for length in lengths]
         manifest = {
             'version': version,
-            'chunk_bytes': step,
+            'chunk_bytes': chunk_bytes,
             'size': size,
             'digest': hashlib.sha256(b''.join(chunks)).hexdigest(),
             'chunks': [hashlib.sha256(each).hexdigest() for each in chunks],
         }
         return cls(chunks, json.dumps(manifest).encode())
 
-    def books(self) -> dict[str, Any]:
+    def read_log(self) -> dict[str, Any]:
         size = sum(len(each) for each in self.chunks)
         copies = round(self.sent_bytes / max(1, size), 4)
         sent = {'bytes': self.sent_bytes, 'copies': copies}
@@ -81,7 +86,7 @@
 
 
 class Origin(Standin):
-    """All versions and the shared rate."""
+    """Serves the versions at the shared rate."""
 
     fault_names = ('down', 'stall', 'corrupt')
 
@@ -91,59 +96,61 @@
         self.versions: dict[str, Weights] = {}
         self._rng = random.Random(_CORRUPT_SEED)
 
-    def books(self) -> dict[str, Any]:
-        versions = {name: each.books() for name, each in self.versions.items()}
+    def request_log(self) -> dict[str, Any]:
+        versions = {
+            name: each.read_log() for name, each in self.versions.items()
+        }
         return {'name': self.options['--name'], 'versions': versions}
 
     @route('GET', '/v1/weights/([^/]+)/manifest')
     async def get_manifest(self, call: Call, version: str) -> Answer:
         call.set_header('Content-Type', 'application/json')
-        await call.finish(self._found(version).manifest)
+        await call.finish(self._find_version(version).manifest)
         return None
 
     @route('GET', r'/v1/weights/([^/]+)/chunks/(\d+)')
     async def get_chunk(self, call: Call, version: str, index: str) -> Answer:
-        weights = self._found(version)
+        weights = self._find_version(version)
         if int(index) >= len(weights.chunks):
             raise RefusedError(404, 'unknown chunk')
         weights.reads[int(index)] += 1
-        chunk = self._spoil(weights.chunks[int(index)])
+        chunk = self._maybe_corrupt(weights.chunks[int(index)])
         call.set_header('Content-Length', str(len(chunk)))
         stalls = self.faults.take('stall') is not None
         for start in range(0, len(chunk), _SLICE_BYTES):
             if stalls and start + _SLICE_BYTES > len(chunk) // 2:
-                await self.faults.wait_off('stall')
+                await self.faults.wait_cleared('stall')
             part = chunk[start : start + _SLICE_BYTES]
-            await self.pacer.wait_turn(len(part))
+            await self.pacer.acquire(len(part))
             weights.sent_bytes += len(part)
             await call.send(part)
         return None
 
     @route('PUT', '/control/weights/([^/]+)')
     async def put_weights(self, call: Call, version: str) -> Answer:
-        size, step, seed = [
+        size, chunk_bytes, seed = [
             int(call.number(name)) for name in ('size', 'chunk_bytes', 'seed')
         ]
-        weights = Weights.generate(version, size, step, seed)
+        weights = Weights.generate(version, size, chunk_bytes, seed)
         self.versions[version] = weights
         digest = hashlib.sha256(weights.manifest).hexdigest()
         return {'version': version, 'manifest_digest': digest}
 
-    def _found(self, version: str) -> Weights:
+    def _find_version(self, version: str) -> Weights:
         if self.faults.take('down'):
             raise DropError
         if version not in self.versions:
             raise RefusedError(404, 'unknown version')
         return self.versions[version]
 
-    def _spoil(self, chunk: bytes) -> bytes:
+    def _maybe_corrupt(self, chunk: bytes) -> bytes:
         fault = self.faults.peek('corrupt')
         if fault is None:
             return chunk
-        if self._rng.random() >= (fault.amount or _CORRUPT_SHARE):
+        if self._rng.random() >= (fault.amount or _CORRUPT_PROBABILITY):
             return chunk
         self.faults.take('corrupt')
-        return spoil(chunk)
+        return flip_first_bit(chunk)
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/crowrudder_standins/plain.py
+++ b/packages/standins/src/crowrudder_standins/plain.py
@@ -20,11 +20,11 @@
 from crowrudder_standins._faults import DropError
 from crowrudder_standins._serving import Answer, Call, Standin, route, run
 
-_LATE_S = 2.0
+_DEFAULT_DELAY_S = 2.0
 
 
 class Plain(Standin):
-    """The runs of each request id."""
+    """Echoes requests and counts the runs of each request id."""
 
     fault_names = ('late', 'cut', 'freeze', 'crossed')
 
@@ -32,7 +32,7 @@
         super().__init__(options)
         self.runs: Counter[str] = Counter()
 
-    def books(self) -> dict[str, Any]:
+    def request_log(self) -> dict[str, Any]:
         return {'runs': self.runs}
 
     @route('*', '/.*')
@@ -40,9 +40,9 @@
         request_id = call.request.headers.get('X-Request-Id', '')
         self.runs[request_id] += 1
         run_number = self.runs[request_id]
-        self.note({'plain': request_id, 'run': run_number})
-        if late := self.faults.take('late'):
-            await asyncio.sleep(late.amount or _LATE_S)
+        self.append_journal({'plain': request_id, 'run': run_number})
+        if delay_fault := self.faults.take('late'):
+            await asyncio.sleep(delay_fault.amount or _DEFAULT_DELAY_S)
         if self.faults.take('cut'):
             call.set_header('Content-Length', '1000')
             await call.send(b'{"request_id": ')
--- a/packages/standins/src/crowrudder_standins/platform.py
+++ b/packages/standins/src/crowrudder_standins/platform.py
@@ -27,14 +27,14 @@
 from crowrudder_standins._faults import DropError, Fault, RefusedError
 from crowrudder_standins._serving import Answer, Call, Standin, route, run
 
-_SLOW_S = 2.0
-_FLAP_S = 0.5
+_DEFAULT_DELAY_S = 2.0
+_FLAP_HALF_PERIOD_S = 0.5
 _GARBAGE = bytes(range(128, 256)) * 4
 
 
 @frozen
 class Edition:
-    """One revision of a value and the time from which it shows."""
+    """One revision of a value and the time from which it is visible."""
 
     revision: int
     content: bytes
@@ -43,7 +43,7 @@
 
 @define
 class Shelf:
-    """A value with all its revisions, and those who wait for the next."""
+    """All revisions of a value; lets watchers wait for the next."""
 
     editions: list[Edition] = field(factory=list)
     _changed: asyncio.Event = field(factory=asyncio.Event)
@@ -52,7 +52,7 @@
         return self.editions[-1].revision + 1 if self.editions else 1
 
     def put(self, content: bytes, lag_s: float = 0) -> int:
-        """Add a revision that shows after the lag."""
+        """Add a revision that becomes visible after the lag."""
         revision = self.next_revision()
         shows_at = time.monotonic() + lag_s
         self.editions.append(Edition(revision, content, shows_at))
@@ -60,13 +60,13 @@
         return revision
 
     def rebuild(self) -> None:
-        """Forget the revisions; the last value becomes revision 1."""
+        """Drop the history; the last value becomes revision 1."""
         last = self.editions[-1:]
         self.editions = [Edition(1, each.content, 0) for each in last]
         self.notify()
 
     def read(self, stale: Fault | None) -> Edition | None:
-        """Return what shows: the newest, or an earlier one when stale."""
+        """Return the newest visible revision, or an earlier one when stale."""
         now = time.monotonic()
         shown = [each for each in self.editions if each.shows_at <= now]
         if stale is None or not shown:
@@ -87,7 +87,7 @@
 
 
 class Platform(Standin):
-    """The published bundle, the members and the count of calls."""
+    """Serves the published bundle and the members, and counts calls."""
 
     fault_names = (
         'down', 'stale', 'slow', 'garbage', 'half', 'flapping', 'rebuilt',
@@ -104,10 +104,10 @@
         self._started = time.monotonic()
         path = options.get('--state')
         self._state = Path(path) if path else None
-        self._read_state()
+        self._restore_state()
         self._publish_members(0)
 
-    def books(self) -> dict[str, Any]:
+    def request_log(self) -> dict[str, Any]:
         calls = sum(self.calls.values())
         seconds = {'calls_per_second': self.calls, 'refused': self.refused}
         return {'calls': calls, **seconds, 'hosts': sorted(self.hosts)}
@@ -128,49 +128,49 @@
     @route('PUT', '/control/bundle')
     async def put_bundle(self, call: Call) -> Answer:
         revision = self.bundle.put(call.request.body)
-        self._keep_state()
+        self._save_state()
         return {'revision': revision}
 
     @route('PUT', '/control/members/([^/]+)')
     async def put_member(self, call: Call, host: str) -> Answer:
         self.hosts[host] = {**call.body_json(), 'host': host}
-        self._keep_state()
+        self._save_state()
         return self._publish_members(float(self.options['--member-lag']))
 
     @route('DELETE', '/control/members/([^/]+)')
     async def delete_member(self, call: Call, host: str) -> Answer:
         self.hosts.pop(host, None)
-        self._keep_state()
+        self._save_state()
         return self._publish_members(float(self.options['--member-lag']))
 
     async def _read(self, call: Call, shelf: Shelf) -> Answer:
         self._count_call()
-        if slow := self.faults.take('slow'):
-            await asyncio.sleep(slow.amount or _SLOW_S)
-        self._check_up()
+        if delay_fault := self.faults.take('slow'):
+            await asyncio.sleep(delay_fault.amount or _DEFAULT_DELAY_S)
+        self._require_up()
         after = call.number('after', '-1')
         ends_at = time.monotonic() + call.number('wait', '0')
         edition = shelf.read(self.faults.peek('stale'))
         while edition is None or edition.revision == after:
-            left_s = ends_at - time.monotonic()
-            if left_s <= 0 or self.is_down():
+            remaining_s = ends_at - time.monotonic()
+            if remaining_s <= 0 or self.is_down():
                 break
-            await shelf.wait_changed(left_s)
+            await shelf.wait_changed(remaining_s)
             edition = shelf.read(self.faults.peek('stale'))
-        self._check_up()
+        self._require_up()
         if edition is None and after < 0:
             raise RefusedError(404, 'no value')
         if edition is None or edition.revision == after:
             call.set_status(204)
             return None
         call.set_header('X-Revision', str(edition.revision))
-        await call.finish(self._garble(edition.content))
+        await call.finish(self._corrupt_content(edition.content))
         return None
 
     def _count_call(self) -> None:
-        second = int(time.monotonic() - self._started)
-        self.calls[second] += 1
-        if self.calls[second] > self.rate:
+        elapsed_s = int(time.monotonic() - self._started)
+        self.calls[elapsed_s] += 1
+        if self.calls[elapsed_s] > self.rate:
             self.refused += 1
             raise RefusedError(429, 'rate')
 
@@ -178,37 +178,42 @@
         flapping = self.faults.peek('flapping')
         if flapping is None:
             return self.faults.peek('down') is not None
-        return bool(int(time.monotonic() / (flapping.amount or _FLAP_S)) % 2)
+        return bool(
+            int(time.monotonic() / (flapping.amount or _FLAP_HALF_PERIOD_S)) % 2
+        )
 
-    def _check_up(self) -> None:
+    def _require_up(self) -> None:
         if self.is_down():
             self.faults.take('down')
             raise DropError
 
-    def _garble(self, content: bytes) -> bytes:
+    def _corrupt_content(self, content: bytes) -> bytes:
         if self.faults.take('garbage'):
             return _GARBAGE
         half = self.faults.take('half')
         return content[: len(content) // 2] if half else content
 
-    def _read_state(self) -> None:
-        """Begin with what was published before; revisions count anew."""
+    def _restore_state(self) -> None:
+        """Restore the published state; revisions restart at 1."""
         if self._state is not None and self._state.exists():
-            kept = json.loads(self._state.read_text())
-            self.hosts = kept['hosts']
-            for bundle in kept['bundle']:
+            saved = json.loads(self._state.read_text())
+            self.hosts = saved['hosts']
+            for bundle in saved['bundle']:
                 self.bundle.put(bundle.encode())
 
-    def _keep_state(self) -> None:
+    def _save_state(self) -> None:
         if self._state is not None:
             last = [each.content.decode() for each in self.bundle.editions[-1:]]
-            kept = {'hosts': self.hosts, 'bundle': last}
-            self._state.write_text(json.dumps(kept))
+            saved = {'hosts': self.hosts, 'bundle': last}
+            self._state.write_text(json.dumps(saved))
 
     def _publish_members(self, lag_s: float) -> Answer:
         revision = self.members.next_revision()
-        listed = {'revision': revision, 'members': list(self.hosts.values())}
-        self.members.put(json.dumps(listed).encode(), lag_s)
+        member_list = {
+            'revision': revision,
+            'members': list(self.hosts.values()),
+        }
+        self.members.put(json.dumps(member_list).encode(), lag_s)
         return {'revision': revision}
 
 
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -33,8 +33,8 @@
 PLATFORM_OPTIONS = {'--rate': '1000', '--member-lag': '0'}
 
 
-class Served:
-    """A stand-in on a free port of the test's own loop."""
+class RunningStandin:
+    """Serves a stand-in on a free port of the test's event loop."""
 
     def __init__(self, standin):
         self.standin = standin
@@ -74,15 +74,15 @@
 
 @contextlib.asynccontextmanager
 async def serving(kind, options):
-    served = Served(kind(options))
+    running = RunningStandin(kind(options))
     try:
-        yield served
+        yield running
     finally:
-        served.close()
+        running.close()
 
 
 async def until(holds):
-    """Let the loop run until the condition holds."""
+    """Run the event loop until the condition holds."""
     for _ in range(100_000):
         if holds():
             return
@@ -124,17 +124,17 @@
 
 
 class TestEngine:
-    def test_stream_is_whole_and_resumes(self):
+    def test_stream_is_complete_and_resumes(self):
         async def case():
             async with serving(Engine, ENGINE_OPTIONS) as engine:
                 assert (await generate(engine))[0] == 409
                 assert (await load(engine))[0] == 200
                 _, events = await generate(engine)
                 _, rest = await generate(engine, resume_from=2)
-                _, books = await engine.json('GET', '/control/books')
-            return events, rest, books
+                _, request_log = await engine.json('GET', '/control/books')
+            return events, rest, request_log
 
-        events, rest, books = run(case())
+        events, rest, request_log = run(case())
         digest = hashlib.sha256(b'hello').hexdigest()[:8]
         texts = [data['text'] for name, data in events if name == 'token']
         assert texts == [f'v1:{index}:{digest} ' for index in range(4)]
@@ -143,7 +143,7 @@
             {'request_id': 'r1', 'version': 'v1', 'tokens': 4},
         )
         assert [data.get('index') for _, data in rest] == [2, 3, None]
-        assert [each['ranges'] for each in books['runs']] == [
+        assert [each['ranges'] for each in request_log['runs']] == [
             [['v1', 0, 3]],
             [['v1', 2, 3]],
         ]
@@ -154,17 +154,17 @@
                 assert (await load(engine, fence=5))[0] == 200
                 stale = await load(engine, 'v2', fence=4)
                 await engine.fault('corrupt_chunk', count=1)
-                spoilt = await load(engine, 'v2', fence=6)
+                corrupted = await load(engine, 'v2', fence=6)
                 state = await engine.json('GET', '/v1/state')
-            return stale, spoilt, state
+            return stale, corrupted, state
 
-        stale, spoilt, state = run(case())
+        stale, corrupted, state = run(case())
         assert stale == (409, {'error': 'stale_fence', 'fence': 5})
-        assert spoilt == (422, {'error': 'bad_weights'})
+        assert corrupted == (422, {'error': 'bad_weights'})
         assert (state[1]['version'], state[1]['fence']) == ('v1', 6)
 
     @pytest.mark.parametrize('fault', ['cut', 'answer_crossed'])
-    def test_fault_hits_as_often_as_counted(self, fault):
+    def test_fault_affects_the_counted_requests(self, fault):
         async def case():
             async with serving(Engine, ENGINE_OPTIONS) as engine:
                 await load(engine)
@@ -175,8 +175,8 @@
                 ]
 
         first, second = run(case())
-        assert not is_whole(first, 'a')
-        assert is_whole(second, 'b')
+        assert not is_complete_stream(first, 'a')
+        assert is_complete_stream(second, 'b')
 
     def test_cancel_and_bounded_queue(self):
         async def case():
@@ -198,23 +198,23 @@
                     for name in 'bab'
                 ]
                 ends = await asyncio.gather(*tasks)
-                _, books = await engine.json('GET', '/control/books')
-            return refused, cancelled, ends, books
+                _, request_log = await engine.json('GET', '/control/books')
+            return refused, cancelled, ends, request_log
 
-        refused, cancelled, ends, books = run(case())
+        refused, cancelled, ends, request_log = run(case())
         assert refused[0] == 429
         assert [each[1]['cancelled'] for each in cancelled] == [
             True,
             True,
             False,
         ]
-        assert not any(is_whole(each, 'a') for each in ends)
-        assert [each['state'] for each in books['runs']] == [
+        assert not any(is_complete_stream(each, 'a') for each in ends)
+        assert [each['state'] for each in request_log['runs']] == [
             'cancelled',
             'cancelled_unstarted',
         ]
 
-    def test_load_during_a_run_shows_in_the_books(self):
+    def test_load_during_a_run_is_recorded(self):
         async def case():
             async with serving(Engine, ENGINE_OPTIONS) as engine:
                 await load(engine)
@@ -222,13 +222,13 @@
                 await until(lambda: engine.standin.batch.tokens > 4)
                 await load(engine, 'v2', fence=2)
                 await task
-                _, books = await engine.json('GET', '/control/books')
-            return books['runs'][0]['ranges']
+                _, request_log = await engine.json('GET', '/control/books')
+            return request_log['runs'][0]['ranges']
 
         assert [each[0] for each in run(case())] == ['v1', 'v2']
 
 
-def is_whole(answer, request_id):
+def is_complete_stream(answer, request_id):
     code, events = answer
     ids = Counter(data['request_id'] for _, data in events)
     last = events[-1][0] if events else ''
@@ -236,7 +236,7 @@
 
 
 class TestOrigin:
-    def test_bytes_are_deterministic_and_counted(self):
+    def test_chunks_are_deterministic_and_counted(self):
         async def case():
             async with serving(Origin, ORIGIN_OPTIONS) as origin:
                 _, made = await origin.json(
@@ -251,10 +251,10 @@
                     for n in range(3)
                 ]
                 missing = await origin.call('GET', '/v1/weights/v1/chunks/3')
-                _, books = await origin.json('GET', '/control/books')
-            return made, read.body, chunks, missing.code, books
+                _, request_log = await origin.json('GET', '/control/books')
+            return made, read.body, chunks, missing.code, request_log
 
-        made, manifest_body, chunks, missing, books = run(case())
+        made, manifest_body, chunks, missing, request_log = run(case())
         manifest = json.loads(manifest_body)
         digests = [hashlib.sha256(each).hexdigest() for each in chunks]
         whole = hashlib.sha256(b''.join(chunks)).hexdigest()
@@ -263,10 +263,14 @@
         )
         assert (manifest['chunks'], manifest['digest']) == (digests, whole)
         assert missing == 404
-        assert books['versions']['v1']['copies'] == 1
-        assert books['versions']['v1']['reads'] == {'0': 1, '1': 1, '2': 1}
-
-    def test_corrupt_share(self):
+        assert request_log['versions']['v1']['copies'] == 1
+        assert request_log['versions']['v1']['reads'] == {
+            '0': 1,
+            '1': 1,
+            '2': 1,
+        }
+
+    def test_corrupt_probability(self):
         async def case():
             async with serving(Origin, ORIGIN_OPTIONS) as origin:
                 path = '/v1/weights/v1/chunks/0'
@@ -279,13 +283,13 @@
                     (await origin.call('GET', path)).body for _ in range(2)
                 ]
 
-        good, (spoilt, mended) = run(case())
-        assert spoilt != good
-        assert mended == good
+        good, (corrupted, intact) = run(case())
+        assert corrupted != good
+        assert intact == good
 
 
 class TestPlatform:
-    def test_watch_wakes_on_a_publication(self):
+    def test_watch_returns_on_a_publication(self):
         async def case():
             async with serving(Platform, PLATFORM_OPTIONS) as platform:
                 path = '/v1/config/bundle'
@@ -294,7 +298,7 @@
                 watch = asyncio.create_task(
                     platform.call('GET', f'{path}?after=1&wait=10')
                 )
-                await until(lambda: platform.standin.books()['calls'] > 1)
+                await until(lambda: platform.standin.request_log()['calls'] > 1)
                 await platform.call('PUT', '/control/bundle', b'two')
                 woken = await watch
                 late = await platform.call('GET', f'{path}?after=2&wait=0')
@@ -335,13 +339,13 @@
                     (await platform.call('GET', '/v1/members')).code
                     for _ in range(8)
                 ]
-                _, books = await platform.json('GET', '/control/books')
-            return Counter(codes), books
+                _, request_log = await platform.json('GET', '/control/books')
+            return Counter(codes), request_log
 
-        codes, books = run(case())
-        assert books['refused'] > 0
-        assert codes[429] == books['refused']
-        assert books['calls'] == 8
+        codes, request_log = run(case())
+        assert request_log['refused'] > 0
+        assert codes[429] == request_log['refused']
+        assert request_log['calls'] == 8
 
 
 class TestPlain:
@@ -353,10 +357,10 @@
                     await plain.call('PATCH', '/a/b', b'x', headers=headers)
                     for _ in range(2)
                 ]
-                _, books = await plain.json('GET', '/control/books')
-            return answers, books
+                _, request_log = await plain.json('GET', '/control/books')
+            return answers, request_log
 
-        answers, books = run(case())
+        answers, request_log = run(case())
         seen = json.loads(answers[1].body)
         assert (seen['run'], seen['path'], seen['method']) == (
             2,
@@ -364,4 +368,4 @@
             'PATCH',
         )
         assert answers[0].headers['X-Request-Id'] == 'r1'
-        assert books['runs'] == {'r1': 2}
+        assert request_log['runs'] == {'r1': 2}
