--- a/scripts/_caller.py
+++ b/scripts/_caller.py
@@ -1,4 +1,4 @@
-"""A caller of crowrudder: picks entries, sends requests, checks answers."""
+"""Client of crowrudder: chooses entries, sends requests, checks answers."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     from collections.abc import Callable, Sequence
 
 NO_ANSWER = 'no_answer'
-# No connection was made, so that nothing was sent.
+# The connection was refused, so nothing was sent.
 REFUSED = 'refused'
-_GRACE_S = 10
-_TRIES = 40
+_TIMEOUT_MARGIN_S = 10
+_MAX_RETRIES = 40
 
 
 @frozen(kw_only=True)
 class Request:
-    """What a caller wants; a `service` makes it a call of a plain service."""
+    """Request of a caller; with a `service`, a call of a plain service."""
 
     request_id: str
     customer: str
@@ -71,7 +71,7 @@
 
 
 class Flaw(enum.Enum):
-    """What is wrong with an answer that claims to be good."""
+    """Defect of an answer whose status reports success."""
 
     NONE = 'none'
     CUT = 'cut'
@@ -81,11 +81,12 @@
 
 @frozen(kw_only=True)
 class Answer:
-    """What a caller got to one sending of a request.
+    """Result of sending a request once.
 
-    `outcome` is that of the answer, or `no_answer` where none came and none
-    can be read off; `broken` is a connection that ended on the way, and `left`
-    one that the caller closed. Times are seconds of the monotonic clock.
+    `outcome` is that of the answer, or `no_answer` if no answer arrived or it
+    has none; `broken` is set if the connection ended before the answer was
+    complete, and `left` if the caller closed it. Times are seconds of the
+    monotonic clock.
     """
 
     request: Request
@@ -104,12 +105,12 @@
 
     @property
     def whole(self) -> bool:
-        """Whether it is the complete answer to its own request."""
+        """Return whether this is the complete answer to its own request."""
         return self.outcome == 'answered' and self.flaw is Flaw.NONE
 
 
 def flaw_of_text(request: Request, text: str) -> Flaw:
-    """Check a completion's text against its request.
+    """Return the defect of a completion's text, checked against its request.
 
     The engine stand-in writes `VERSION:INDEX:HASH` for each token.
     """
@@ -126,22 +127,22 @@
 
 
 @define
-class _Reading:
-    """The parts of one answer as they arrive."""
+class _ResponseBuffer:
+    """Status, headers and body of an answer as they arrive."""
 
     status: int = 0
     headers: dict[str, str] = field(factory=dict)
     body: bytearray = field(factory=bytearray)
     on_chunk: Callable[[], None] | None = None
 
-    def take_header(self, line: str) -> None:
+    def add_header(self, line: str) -> None:
         if line.startswith('HTTP/'):
             self.status = parse_response_start_line(line.strip()).code
         elif ':' in line:
             name, text = line.split(':', 1)
             self.headers[name.strip().lower()] = text.strip()
 
-    def take_chunk(self, chunk: bytes) -> None:
+    def add_chunk(self, chunk: bytes) -> None:
         self.body.extend(chunk)
         if self.on_chunk is not None:
             self.on_chunk()
@@ -158,7 +159,7 @@
 
 @frozen
 class EntryAddress:
-    """An entry that callers may use."""
+    """Address of an entry that callers may use."""
 
     host: str
     address: str
@@ -166,12 +167,12 @@
 
     @property
     def url(self) -> str:
-        """Where it answers."""
+        """Return the URL of the entry."""
         return f'http://{self.address}:{self.port}'
 
 
 class Caller:
-    """Sends requests through the entries that the system names."""
+    """Sends requests through the entries that the fleet lists."""
 
     def __init__(self, first_url: str, *, seed: int) -> None:
         self._first_url = first_url
@@ -186,18 +187,19 @@
         self._client.close()
 
     async def entries(self) -> Sequence[EntryAddress]:
-        """Return the entries to use, asked for again when their time is up."""
+        """Return the entries to use, read again after they expire."""
         if time.monotonic() >= self._read_again_at:
             await self._read_entries()
         return self._entries
 
     async def call(self, request: Request) -> Answer:
-        """Send a request until it is answered or may have run.
+        """Send a request, retried until it is answered or may have run.
 
-        Only what is known not to have run is sent again, as http.md allows.
+        Only a request that is known not to have run is resent, as http.md
+        allows.
         """
         answer = await self.send(request)
-        for _ in range(_TRIES):
+        for _ in range(_MAX_RETRIES):
             busy = answer.outcome == 'not_run' and answer.status in {429, 503}
             if not busy and answer.detail != REFUSED:
                 break
@@ -212,29 +214,29 @@
         on_chunk: Callable[[], None] | None = None,
         leave_after_s: float = 0,
     ) -> Answer:
-        """Send a request once and keep its answer.
+        """Send a request once, and record and return its answer.
 
         Parameters
         ----------
         on_chunk
-            Called when a part of the answer's body has come.
+            Called on each received chunk of the answer's body.
         leave_after_s
-            Seconds after which the caller closes the connection; 0 never.
+            Seconds after which the caller closes the connection; 0: never.
         """
-        reading = _Reading(on_chunk=on_chunk)
-        url = await self._pick()
+        response = _ResponseBuffer(on_chunk=on_chunk)
+        url = await self._choose_entry_url()
         began_at = time.monotonic()
         error = ''
         try:
-            await self._fetch(url, request, reading, leave_after_s)
+            await self._fetch(url, request, response, leave_after_s)
         except ConnectionRefusedError:
-            # Nothing was sent, so that another entry may be tried.
+            # Nothing was sent, so another entry may be tried.
             self._read_again_at = 0
             error = REFUSED
         except (OSError, HTTPError) as exc:
             self._read_again_at = 0
             error = repr(exc)
-        answer = _judge(request, reading, error)
+        answer = _parse_answer(request, response, error)
         answer = evolve(
             answer,
             url=url,
@@ -250,32 +252,32 @@
         self,
         url: str,
         request: Request,
-        reading: _Reading,
+        response: _ResponseBuffer,
         leave_after_s: float,
     ) -> None:
-        patience_s = request.deadline_ms / 1000 + _GRACE_S
+        answer_timeout_s = request.deadline_ms / 1000 + _TIMEOUT_MARGIN_S
         await self._client.fetch(
             HTTPRequest(
                 f'{url}{request.path()}',
                 method='POST',
                 headers=request.headers(),
                 body=request.body(),
-                header_callback=reading.take_header,
-                streaming_callback=reading.take_chunk,
-                request_timeout=leave_after_s or patience_s,
+                header_callback=response.add_header,
+                streaming_callback=response.add_chunk,
+                request_timeout=leave_after_s or answer_timeout_s,
                 decompress_response=False,
             ),
             raise_error=False,
         )
 
-    async def _pick(self) -> str:
+    async def _choose_entry_url(self) -> str:
         entries = await self.entries()
         if not entries:
             return self._first_url
         return self._rng.choice(entries).url
 
     async def _read_entries(self) -> None:
-        """Ask the entries known so far, then the first one."""
+        """Read the list from a known entry, or from the first URL."""
         known = [each.url for each in self._entries]
         self._rng.shuffle(known)
         known.append(self._first_url)
@@ -290,53 +292,55 @@
             return
 
 
-def _judge(request: Request, reading: _Reading, error: str) -> Answer:
-    if not reading.status:
+def _parse_answer(
+    request: Request, response: _ResponseBuffer, error: str
+) -> Answer:
+    if not response.status:
         return Answer(request=request, detail=error)
-    outcome = reading.headers.get('x-outcome', '')
-    retry_after_s = float(reading.headers.get('retry-after', 0))
+    outcome = response.headers.get('x-outcome', '')
+    retry_after_s = float(response.headers.get('retry-after', 0))
     answer = Answer(
         request=request,
-        status=reading.status,
+        status=response.status,
         outcome=outcome or NO_ANSWER,
         detail=error,
         retry_after_s=retry_after_s,
     )
-    if reading.headers.get('x-request-id') != request.request_id:
+    if response.headers.get('x-request-id') != request.request_id:
         return evolve(answer, flaw=Flaw.CROSSED, detail='X-Request-Id')
-    if reading.status != 200:
-        detail = error or reading.body.decode(errors='replace')
+    if response.status != 200:
+        detail = error or response.body.decode(errors='replace')
         return evolve(answer, detail=detail)
     try:
-        return _judge_good(answer, reading)
+        return _parse_success(answer, response)
     except (ValueError, KeyError, TypeError) as exc:
         return evolve(answer, flaw=Flaw.CUT, detail=f'{error} {exc!r}')
 
 
-def _judge_good(answer: Answer, reading: _Reading) -> Answer:
+def _parse_success(answer: Answer, response: _ResponseBuffer) -> Answer:
     request = answer.request
     if request.service:
-        return _judge_service(answer, reading)
+        return _check_service_echo(answer, response)
     if request.streamed:
-        return _judge_stream(answer, reading)
-    whole = json.loads(reading.body)
-    if whole['id'] != request.request_id:
+        return _parse_stream(answer, response)
+    completion = json.loads(response.body)
+    if completion['id'] != request.request_id:
         return evolve(answer, flaw=Flaw.CROSSED, detail='id')
-    return _with_text(answer, whole['text'])
+    return _with_text(answer, completion['text'])
 
 
-def _judge_service(answer: Answer, reading: _Reading) -> Answer:
-    echoed = json.loads(reading.body)
+def _check_service_echo(answer: Answer, response: _ResponseBuffer) -> Answer:
+    echoed = json.loads(response.body)
     digest = hashlib.sha256(answer.request.body()).hexdigest()
-    own = (echoed['request_id'], echoed['body_sha256'])
-    if own == (answer.request.request_id, digest):
+    identity = (echoed['request_id'], echoed['body_sha256'])
+    if identity == (answer.request.request_id, digest):
         return answer
     return evolve(answer, flaw=Flaw.CROSSED, detail=str(echoed))
 
 
-def _judge_stream(answer: Answer, reading: _Reading) -> Answer:
-    """Take a stream for whole only with its final event."""
-    events = reading.events()
+def _parse_stream(answer: Answer, response: _ResponseBuffer) -> Answer:
+    """Return the answer of a stream, complete only with its final event."""
+    events = response.events()
     last_name, last = events[-1] if events else ('', {})
     if last_name == 'error':
         outcome = last['error']['outcome']
--- a/scripts/_declare.py
+++ b/scripts/_declare.py
@@ -1,4 +1,4 @@
-"""The declared files of a run: written, checked and bundled by the client."""
+"""Write the declared files of a run; check and bundle them with the client."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 @frozen
 class Weights:
-    """A version of weights; its bytes follow from the seed.
+    """A version of weights, whose bytes are generated from the seed.
 
-    One that isn't `stored` is at the origin alone.
+    A version that isn't `stored` is available at the origin only.
     """
 
     version: str
@@ -36,7 +36,7 @@
 
     @property
     def chunks(self) -> int:
-        """How many chunks there are."""
+        """Return the number of chunks."""
         return -(-self.size // self.chunk_bytes)
 
 
@@ -46,7 +46,7 @@
     Raises
     ------
     FleetError
-        If it ends with another code than 0.
+        If the exit code isn't 0.
     """
     child = await asyncio.create_subprocess_exec(
         program('crowrudder'),
@@ -63,7 +63,7 @@
 
 @define
 class Declared:
-    """A directory of declared files, and what was published of it."""
+    """A directory of declared files, and the state published from it."""
 
     directory: Path
     model: str = 'listing'
@@ -78,26 +78,26 @@
         return cls(directory)
 
     async def publish(self, fleet: Fleet, weights: Weights) -> str:
-        """Declare a version, check, bundle and publish; return the digest.
+        """Declare a version, check, bundle and publish it; return the digest.
 
-        The version before stays declared, as hosts still serve with it.
+        The previous version stays declared, as hosts still serve it.
         """
-        await self.publish_rivals(fleet, [weights])
+        await self.publish_concurrently(fleet, [weights])
         return self.digest
 
-    async def publish_rivals(
-        self, fleet: Fleet, rivals: Sequence[Weights]
+    async def publish_concurrently(
+        self, fleet: Fleet, concurrent_versions: Sequence[Weights]
     ) -> list[str]:
         """Publish a bundle for each version, all of one generation.
 
-        They have one parent, as those of operators who don't know of each
-        other; the higher digest wins. The digests are returned.
+        The bundles have the same parent, like those of operators who publish
+        concurrently; the highest digest wins. The digests are returned.
         """
-        for weights in rivals:
-            await self._make(fleet, weights)
-        self._succeed()
+        for weights in concurrent_versions:
+            await self._make_weights(fleet, weights)
+        self._advance_generation()
         bundles: dict[str, tuple[bytes, str]] = {}
-        for weights in rivals:
+        for weights in concurrent_versions:
             bundle = await self._bundle(weights.version)
             digest = str(json.loads(bundle)['digest'])
             bundles[digest] = (bundle, weights.version)
@@ -108,10 +108,10 @@
         return list(bundles)
 
     def set_replicas(self, replicas: int) -> None:
-        """Declare on how many hosts the model runs."""
+        """Declare the number of replicas of the model."""
         self._set('services.ini', 'service:listing', replicas=replicas)
 
-    async def _make(self, fleet: Fleet, weights: Weights) -> None:
+    async def _make_weights(self, fleet: Fleet, weights: Weights) -> None:
         manifest = await fleet.make_weights(
             weights.version,
             size=weights.size,
@@ -139,7 +139,7 @@
             chunks=weights.chunks,
         )
 
-    def _succeed(self) -> None:
+    def _advance_generation(self) -> None:
         self.generation += 1
         self._set(
             'fleet.ini',
@@ -156,5 +156,5 @@
             cfg.add_section(section)
         for key, text in keys.items():
             cfg.set(section, key, str(text))
-        with path.open('w') as written:
-            cfg.write(written)
+        with path.open('w') as file:
+            cfg.write(file)
--- a/scripts/_experiment_faults.py
+++ b/scripts/_experiment_faults.py
@@ -1,4 +1,4 @@
-"""The faults of an experiment, done to the processes of its fleet."""
+"""Inject the faults of an experiment into the processes of its fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from _caller import EntryAddress
-from _chaos import Ending, excused
+from _chaos import Downtime, excused
 from _declare import Weights
 from _experiment_plan import (
     Drain,
@@ -22,7 +22,7 @@
     Step,
 )
 from _fleet import until
-from _hostile import misses_of
+from _hostile import find_violations
 from _process import LOOPBACK, FleetError
 from attrs import define, evolve, field
 
@@ -34,28 +34,28 @@
     from _fleet import Fleet
     from _process import Host, Outside
 
-FIRST = Weights('listing-v1', seed=1)
+FIRST_WEIGHTS = Weights('listing-v1', seed=1)
 
 
 @define
-class Absences:
-    """When which killed process was gone, in seconds of one clock.
-
-    >>> absences = Absences()
-    >>> absences.gone('entry-1', 5.0)
-    >>> absences.back('entry-1', 8.0)
-    >>> absences.spans
-    [Ending(name='entry-1', from_s=5.0, until_s=8.0)]
+class Downtimes:
+    """Downtimes of killed processes, in seconds of one clock.
+
+    >>> downtimes = Downtimes()
+    >>> downtimes.record_down('entry-1', 5.0)
+    >>> downtimes.record_up('entry-1', 8.0)
+    >>> downtimes.spans
+    [Downtime(name='entry-1', from_s=5.0, until_s=8.0)]
     """
 
-    spans: list[Ending] = field(factory=list)
+    spans: list[Downtime] = field(factory=list)
 
-    def gone(self, name: str, now: float) -> None:
-        """Note that a process was killed."""
-        self.spans.append(Ending(name, now, float('inf')))
+    def record_down(self, name: str, now: float) -> None:
+        """Record that a process was killed."""
+        self.spans.append(Downtime(name, now, float('inf')))
 
-    def back(self, name: str, now: float) -> None:
-        """Note that it runs again."""
+    def record_up(self, name: str, now: float) -> None:
+        """Record that a process runs again."""
         self.spans = [
             evolve(span, until_s=min(now, span.until_s))
             if span.name == name
@@ -63,27 +63,27 @@
             for span in self.spans
         ]
 
-    def excuse(self, answer: Answer, entries: Iterable[Host]) -> bool:
-        """Tell whether a broken connection was one to a killed entry."""
+    def is_excused(self, answer: Answer, entries: Iterable[Host]) -> bool:
+        """Return whether a broken connection was one to a killed entry."""
         return excused(answer, entries, self.spans)
 
 
 class Injector:
-    """Does the steps of an experiment to its fleet."""
+    """Runs the steps of an experiment on its fleet."""
 
     def __init__(self, fleet: Fleet, declared: Declared) -> None:
-        self.absences = Absences()
+        self.downtimes = Downtimes()
         self._fleet = fleet
         self._declared = declared
-        self._seed = FIRST.seed
+        self._seed = FIRST_WEIGHTS.seed
 
-    async def act(self, step: Step) -> None:
-        """Do one step, with the undoing that belongs to it.
+    async def inject(self, step: Step) -> None:
+        """Run one step, and undo it if it has a duration.
 
         Raises
         ------
         FleetError
-            If it doesn't come off, or not in its time.
+            If the step fails or exceeds its time.
         """
         match step:
             case Kill():
@@ -100,14 +100,14 @@
             case EngineFault():
                 await self._engine_fault(step)
             case PlatformFault():
-                await self._switch(self._fleet.platform, step)
+                await self._inject_standin_fault(self._fleet.platform, step)
             case Hostile():
                 await self._hostile(step)
             case Publish():
                 await self._publish(step)
 
     async def publish(self, weights: Weights, within_s: float) -> None:
-        """Declare a version and wait until every engine has it."""
+        """Publish a version and wait until all running engines loaded it."""
         await self._declared.publish(self._fleet, weights)
 
         async def loaded() -> bool:
@@ -123,9 +123,9 @@
         await until(loaded, step=step, timeout_s=within_s)
 
     async def _kill(self, step: Kill) -> None:
-        hosts = hosts_of(self._fleet.hosts, step.target)
+        hosts = find_hosts(self._fleet.hosts, step.target)
         for host in hosts:
-            self.absences.gone(host.name, time.monotonic())
+            self.downtimes.record_down(host.name, time.monotonic())
             host.process.kill()
             if host.upstream is not None:
                 host.upstream.process.kill()
@@ -134,17 +134,17 @@
             await self._fleet.unlist_member(host)
 
     async def _start(self, target: str) -> None:
-        for host in hosts_of(self._fleet.hosts, target):
+        for host in find_hosts(self._fleet.hosts, target):
             if host.upstream is not None and not host.upstream.process.running:
                 host.upstream.process.start()
             if not host.process.running:
                 host.process.start()
             await self._fleet.await_alive(host)
-            self.absences.back(host.name, time.monotonic())
+            self.downtimes.record_up(host.name, time.monotonic())
             await self._fleet.list_member(host)
 
     async def _freeze(self, step: Freeze) -> None:
-        hosts = hosts_of(self._fleet.hosts, step.target)
+        hosts = find_hosts(self._fleet.hosts, step.target)
         for host in hosts:
             host.process.freeze()
         await asyncio.sleep(step.lasts_s)
@@ -152,7 +152,7 @@
             host.process.thaw()
 
     async def _drain(self, target: str) -> None:
-        hosts = hosts_of(self._fleet.hosts, target)
+        hosts = find_hosts(self._fleet.hosts, target)
         codes = await self._fleet.drain(hosts)
         bad = {name: code for name, code in codes.items() if code != 0}
         if bad:
@@ -160,11 +160,11 @@
 
     async def _engine_fault(self, step: EngineFault) -> None:
         agent = step.target.replace('engine', 'agent')
-        (host,) = hosts_of(self._fleet.engine_agents, agent)
+        (host,) = find_hosts(self._fleet.engine_agents, agent)
         if host.upstream is not None:
-            await self._switch(host.upstream, step)
+            await self._inject_standin_fault(host.upstream, step)
 
-    async def _switch(
+    async def _inject_standin_fault(
         self, outside: Outside, step: EngineFault | PlatformFault
     ) -> None:
         await self._fleet.fault(outside, step.fault, amount=step.amount)
@@ -177,10 +177,10 @@
             EntryAddress(entry.name, LOOPBACK, int(entry.member['http_port']))
             for entry in self._fleet.entries
         ]
-        misses = await asyncio.gather(
-            *(misses_of(address, step.lasts_s) for address in addresses)
+        violations = await asyncio.gather(
+            *(find_violations(address, step.lasts_s) for address in addresses)
         )
-        found = sorted({miss for each in misses for miss in each})
+        found = sorted({violation for each in violations for violation in each})
         if found:
             raise FleetError('hostile', 'entries', '; '.join(found))
 
@@ -190,13 +190,13 @@
         await self.publish(weights, step.within_s)
 
 
-def hosts_of(hosts: Iterable[Host], target: str) -> list[Host]:
-    """Find a host by its name, or all of `domain:NAME`.
+def find_hosts(hosts: Iterable[Host], target: str) -> list[Host]:
+    """Return the host of this name, or all hosts of `domain:NAME`.
 
     Raises
     ------
     FleetError
-        If there is none.
+        If no host matches.
     """
     domain = target.removeprefix('domain:')
     key = 'host' if domain == target else 'failure_domain'
--- a/scripts/_experiment_plan.py
+++ b/scripts/_experiment_plan.py
@@ -1,21 +1,21 @@
-"""What an experiment's file says beside the load: fleet, faults, promises."""
+"""Read an experiment's file: its fleet, faults and promises."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from _fleet_plan import FleetPlan
-from _load_ini import SectionCheck, ini, read_sections
-from _load_plan import LONGEST_S, LoadPlan, check_load, optional
+from _load_ini import SectionCheck, ini_key, read_sections
+from _load_plan import MAX_DURATION_S, LoadPlan, check_load, optional
 from attrs import frozen
 
 from crowrudder_daemon.settings.schema import Kind, decimal, whole, word
-from crowrudder_daemon.settings.schema import name as a_name
+from crowrudder_daemon.settings.schema import name as name_kind
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-_AT = decimal(0, LONGEST_S)
+_TIME_S = decimal(0, MAX_DURATION_S)
 _DOMAIN = 'domain:'
 _ENGINE_FAULTS = (
     'die',
@@ -40,10 +40,10 @@
 
 
 def target() -> Kind:
-    """Read a host's name, or `domain:NAME` for a whole failure domain."""
+    """Return the kind of a host name, or of `domain:NAME` for its hosts."""
 
     def parse(text: str) -> str:
-        a_name().parse(text.removeprefix(_DOMAIN))
+        name_kind().parse(text.removeprefix(_DOMAIN))
         return text
 
     return Kind(parse, 'a host such as agent-1, or domain:NAME')
@@ -51,23 +51,23 @@
 
 @frozen(kw_only=True)
 class FleetSection:
-    """The fleet to start, and how fast its engines are.
+    """Size of the fleet to start, and the speed of its engines.
 
     Rates are in bytes a second.
     """
 
-    entries: int = ini(whole(1, 4), default=2)
-    engines: int = ini(whole(3, 8), default=4)
-    plains: int = ini(whole(0, 2), default=1)
-    slots: int = ini(whole(1, 64), default=8)
-    token_interval_s: float = ini(decimal(0.001, 1), default=0.005)
-    prefill_s: float = ini(decimal(0, 1), default=0.02)
-    load_s: float = ini(decimal(0, 5), default=0.2)
-    origin_rate: int = ini(whole(1, 1 << 30), default=8_000_000)
-    member_lag_s: float = ini(decimal(0, 10), default=0.5)
+    entries: int = ini_key(whole(1, 4), default=2)
+    engines: int = ini_key(whole(3, 8), default=4)
+    plains: int = ini_key(whole(0, 2), default=1)
+    slots: int = ini_key(whole(1, 64), default=8)
+    token_interval_s: float = ini_key(decimal(0.001, 1), default=0.005)
+    prefill_s: float = ini_key(decimal(0, 1), default=0.02)
+    load_s: float = ini_key(decimal(0, 5), default=0.2)
+    origin_rate: int = ini_key(whole(1, 1 << 30), default=8_000_000)
+    member_lag_s: float = ini_key(decimal(0, 10), default=0.5)
 
     def plan(self) -> FleetPlan:
-        """Give the plan that the launcher of fleets takes."""
+        """Return the plan for the fleet launcher."""
         return FleetPlan(
             entries=self.entries,
             engines=self.engines,
@@ -83,7 +83,7 @@
         )
 
     def hosts(self) -> tuple[str, ...]:
-        """Name the hosts, as the launcher does."""
+        """Return the names that the fleet launcher gives to the hosts."""
         return (
             *_numbered('entry', self.entries),
             *_numbered('agent', self.engines),
@@ -91,7 +91,7 @@
         )
 
     def upstreams(self) -> tuple[str, ...]:
-        """Name the engines."""
+        """Return the names of the engines."""
         return _numbered('engine', self.engines)
 
 
@@ -101,95 +101,95 @@
 
 @frozen(kw_only=True)
 class Kill:
-    """Hosts die at once with what stands beside them.
+    """Hosts are killed (SIGKILL) together with their upstreams.
 
-    The platform notices after `unlisted_after_s` seconds and takes them out
-    of its list.
+    The platform removes them from its member list `unlisted_after_s` seconds
+    later.
     """
 
     name: str
-    at_s: float = ini(_AT)
-    target: str = ini(target())
-    unlisted_after_s: float = ini(_AT, default=2.0)
+    at_s: float = ini_key(_TIME_S)
+    target: str = ini_key(target())
+    unlisted_after_s: float = ini_key(_TIME_S, default=2.0)
 
 
 @frozen(kw_only=True)
 class Restart:
-    """Killed hosts start again."""
+    """Killed hosts are restarted."""
 
     name: str
-    at_s: float = ini(_AT)
-    target: str = ini(target())
+    at_s: float = ini_key(_TIME_S)
+    target: str = ini_key(target())
 
 
 @frozen(kw_only=True)
 class Freeze:
-    """The daemons of hosts stand still for `lasts_s` seconds, then go on."""
+    """The daemons of hosts are paused for `lasts_s` seconds."""
 
     name: str
-    at_s: float = ini(_AT)
-    target: str = ini(target())
-    lasts_s: float = ini(_AT)
+    at_s: float = ini_key(_TIME_S)
+    target: str = ini_key(target())
+    lasts_s: float = ini_key(_TIME_S)
 
 
 @frozen(kw_only=True)
 class Drain:
-    """The daemons of hosts are told to leave (SIGTERM)."""
+    """The daemons of hosts are drained (SIGTERM)."""
 
     name: str
-    at_s: float = ini(_AT)
-    target: str = ini(target())
+    at_s: float = ini_key(_TIME_S)
+    target: str = ini_key(target())
 
 
 @frozen(kw_only=True)
 class Roll:
-    """The daemons of hosts are told to leave, and are started again."""
+    """The daemons of hosts are drained and restarted."""
 
     name: str
-    at_s: float = ini(_AT)
-    target: str = ini(target())
+    at_s: float = ini_key(_TIME_S)
+    target: str = ini_key(target())
 
 
 @frozen(kw_only=True)
 class EngineFault:
-    """An engine misbehaves for `lasts_s` seconds."""
+    """An engine is faulty for `lasts_s` seconds."""
 
     name: str
-    at_s: float = ini(_AT)
-    target: str = ini(a_name())
-    fault: str = ini(word(*_ENGINE_FAULTS))
-    lasts_s: float = ini(_AT)
-    amount: float = ini(_AT, default=0.0)
+    at_s: float = ini_key(_TIME_S)
+    target: str = ini_key(name_kind())
+    fault: str = ini_key(word(*_ENGINE_FAULTS))
+    lasts_s: float = ini_key(_TIME_S)
+    amount: float = ini_key(_TIME_S, default=0.0)
 
 
 @frozen(kw_only=True)
 class PlatformFault:
-    """The platform misbehaves for `lasts_s` seconds."""
+    """The platform is faulty for `lasts_s` seconds."""
 
     name: str
-    at_s: float = ini(_AT)
-    fault: str = ini(word(*_PLATFORM_FAULTS))
-    lasts_s: float = ini(_AT)
-    amount: float = ini(_AT, default=0.0)
+    at_s: float = ini_key(_TIME_S)
+    fault: str = ini_key(word(*_PLATFORM_FAULTS))
+    lasts_s: float = ini_key(_TIME_S)
+    amount: float = ini_key(_TIME_S, default=0.0)
 
 
 @frozen(kw_only=True)
 class Hostile:
-    """Every entry gets malformed and stalling calls for `lasts_s` seconds."""
+    """Entries receive malformed and stalling calls for `lasts_s` seconds."""
 
     name: str
-    at_s: float = ini(_AT)
-    lasts_s: float = ini(_AT)
+    at_s: float = ini_key(_TIME_S)
+    lasts_s: float = ini_key(_TIME_S)
 
 
 @frozen(kw_only=True)
 class Publish:
-    """A new version is declared; every engine has it within `within_s`."""
+    """A new version is published; every engine must load it in `within_s`."""
 
     name: str
-    at_s: float = ini(_AT)
-    version: str = ini(a_name())
-    within_s: float = ini(_AT)
+    at_s: float = ini_key(_TIME_S)
+    version: str = ini_key(name_kind())
+    within_s: float = ini_key(_TIME_S)
 
 
 Step = (
@@ -203,7 +203,7 @@
     | Hostile
     | Publish
 )
-_STEPS: dict[str, type[Step]] = {
+_STEP_CLASSES: dict[str, type[Step]] = {
     'kill': Kill,
     'restart': Restart,
     'freeze': Freeze,
@@ -227,19 +227,19 @@
 
 @frozen(kw_only=True)
 class Promise:
-    """A bound on a figure, over all or of one phase, customer, or both."""
+    """Bounds on a figure of all requests, a phase, a customer, or both."""
 
     name: str
-    figure: str = ini(word(*FIGURES))
-    phase: str = ini(optional(a_name()), default='')
-    customer: str = ini(optional(a_name()), default='')
-    least: float = ini(decimal(0, 1_000_000), default=0.0)
-    most: float = ini(decimal(0, 1_000_000), default=float('inf'))
+    figure: str = ini_key(word(*FIGURES))
+    phase: str = ini_key(optional(name_kind()), default='')
+    customer: str = ini_key(optional(name_kind()), default='')
+    least: float = ini_key(decimal(0, 1_000_000), default=0.0)
+    most: float = ini_key(decimal(0, 1_000_000), default=float('inf'))
 
 
 @frozen(kw_only=True)
 class Experiment:
-    """A whole file, checked."""
+    """The contents of a valid experiment file."""
 
     name: str
     fleet: FleetSection
@@ -254,21 +254,21 @@
     Raises
     ------
     SettingsError
-        With every fault of the file.
+        If the file has faults; all of them are reported.
     """
     check = SectionCheck(str(path), read_sections(path))
-    check.refuse_sections_but(
+    check.reject_other_sections(
         'fleet', 'load', 'traffic:', 'phase:', 'fault:', 'promise:'
     )
-    fleet = check.one('fleet', FleetSection)
+    fleet = check.read_section('fleet', FleetSection)
     load = check_load(check)
     steps = _steps(check)
-    promises = check.many('promise', Promise)
+    promises = check.read_named_sections('promise', Promise)
     if fleet is not None:
         _check_targets(check, steps, fleet)
     _check_promises(check, promises)
-    check.end()
-    # Nothing is None once there is no fault; the type checker can't know.
+    check.raise_faults()
+    # Neither is None when there is no fault, which mypy can't infer.
     assert fleet is not None
     assert load is not None
     return Experiment(
@@ -281,17 +281,17 @@
 
 
 def _steps(check: SectionCheck) -> list[Step]:
-    """Read each `[fault:NAME]` as the class that its `kind` names."""
-    kind_of = word(*_STEPS)
+    """Return the step of each `[fault:NAME]`, of the class given by `kind`."""
+    kind_of = word(*_STEP_CLASSES)
     steps = []
-    for section, step_name in check.named('fault'):
+    for section, step_name in check.named_sections('fault'):
         texts = dict(check.sections[section])
         found = texts.pop('kind', None)
-        if found not in _STEPS:
-            check.refuse(section, 'kind', found, kind_of.allowed)
+        if found not in _STEP_CLASSES:
+            check.add_fault(section, 'kind', found, kind_of.allowed)
             continue
         inner = SectionCheck(check.file, {section: texts}, check.faults)
-        step = inner.one(section, _STEPS[found], name=step_name)
+        step = inner.read_section(section, _STEP_CLASSES[found], name=step_name)
         if step is not None:
             steps.append(step)
     return steps
@@ -312,29 +312,35 @@
             case _:
                 continue
         if named not in known and not named.startswith(_DOMAIN):
-            check.refuse(section, 'target', named, f'one of {", ".join(known)}')
+            check.add_fault(
+                section, 'target', named, f'one of {", ".join(known)}'
+            )
 
 
 def _check_promises(check: SectionCheck, promises: tuple[Promise, ...]) -> None:
-    phases = ('', *(phase for _, phase in check.named('phase')))
+    phases = ('', *(phase for _, phase in check.named_sections('phase')))
     customers = (
         '',
         *(
             check.sections[section].get('customer', '')
-            for section, _ in check.named('traffic')
+            for section, _ in check.named_sections('traffic')
         ),
     )
     for promise in promises:
         section = f'promise:{promise.name}'
         if promise.phase not in phases:
-            check.refuse(section, 'phase', promise.phase, _either(phases))
+            check.add_fault(
+                section, 'phase', promise.phase, _allowed_names(phases)
+            )
         if promise.customer not in customers:
             found = promise.customer
-            check.refuse(section, 'customer', found, _either(customers))
+            check.add_fault(
+                section, 'customer', found, _allowed_names(customers)
+            )
         if promise.least > promise.most:
             allowed = f'least = {promise.least:g} or more'
-            check.refuse(section, 'most', f'{promise.most:g}', allowed)
+            check.add_fault(section, 'most', f'{promise.most:g}', allowed)
 
 
-def _either(names: tuple[str, ...]) -> str:
+def _allowed_names(names: tuple[str, ...]) -> str:
     return f'empty or one of {", ".join(sorted(set(names)))}'
--- a/scripts/_experiment_run.py
+++ b/scripts/_experiment_run.py
@@ -1,4 +1,4 @@
-"""One experiment: a fleet, its load, the faults at their times, the verdict."""
+"""Run an experiment: start its fleet, apply load and faults, and evaluate."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from _books import Books, compare
 from _declare import Declared
-from _experiment_faults import FIRST, Injector
-from _experiment_verdict import Report, StepReport, judge
+from _experiment_faults import FIRST_WEIGHTS, Injector
+from _experiment_verdict import Report, StepReport, evaluate
 from _fleet import Fleet, until
 from _load_arrivals import arrivals
 from _load_run import LoadRun, LoopbackCaller
@@ -23,12 +23,12 @@
     from _caller import Answer
     from _experiment_plan import Experiment, Step
 
-_FIRST_LOADED_S = 20
-_JOURNALS_REST_S = 0.3
+_FIRST_LOAD_TIMEOUT_S = 20
+_JOURNAL_FLUSH_DELAY_S = 0.3
 
 
 class ExperimentRun:
-    """Runs one experiment on a fleet of its own."""
+    """Runs one experiment on its own fleet."""
 
     def __init__(self, experiment: Experiment, directory: Path) -> None:
         self._experiment = experiment
@@ -38,29 +38,29 @@
         self._injector = Injector(self.fleet, declared)
 
     async def prepare(self) -> LoopbackCaller:
-        """Start the fleet, load the first version, and give a caller."""
+        """Start the fleet, load the first version, and return a caller."""
         await self.fleet.start()
-        await self._injector.publish(FIRST, _FIRST_LOADED_S)
+        await self._injector.publish(FIRST_WEIGHTS, _FIRST_LOAD_TIMEOUT_S)
         member = self.fleet.entries[0].member
         url = f'http://{member["address"]}:{member["http_port"]}'
         caller = LoopbackCaller(url, seed=self._experiment.load.bounds.seed)
 
         async def all_named() -> bool:
-            caller.forget_entries()
+            caller.expire_entries()
             return len(await caller.entries()) == len(self.fleet.entries)
 
         await until(all_named, step='name all entries', timeout_s=10)
         return caller
 
     async def run(self) -> Report:
-        """Run the load and the faults side by side, and judge."""
+        """Run the load and the faults concurrently, and return the report."""
         experiment = self._experiment
         caller = await self.prepare()
         planned = arrivals(experiment.load, tag=experiment.name)
         load = LoadRun(caller, experiment.load.bounds)
         started = time.monotonic()
         steps = [
-            asyncio.create_task(self._take(step, started))
+            asyncio.create_task(self._run_step(step, started))
             for step in experiment.steps
         ]
         try:
@@ -70,9 +70,9 @@
             for task in steps:
                 task.cancel()
             caller.close()
-        # Engines still write down what they stopped last.
-        await asyncio.sleep(_JOURNALS_REST_S)
-        return judge(
+        # Engines still write the journal entries of their last requests.
+        await asyncio.sleep(_JOURNAL_FLUSH_DELAY_S)
+        return evaluate(
             experiment,
             summarize(experiment.load, results, caller.answers),
             compare(
@@ -84,15 +84,15 @@
         )
 
     def _excused(self, answer: Answer) -> bool:
-        absences = self._injector.absences
-        return absences.excuse(answer, self.fleet.entries)
+        downtimes = self._injector.downtimes
+        return downtimes.is_excused(answer, self.fleet.entries)
 
-    async def _take(self, step: Step, started: float) -> StepReport:
+    async def _run_step(self, step: Step, started: float) -> StepReport:
         await asyncio.sleep(started + step.at_s - time.monotonic())
         began = time.monotonic()
         error = ''
         try:
-            await self._injector.act(step)
+            await self._injector.inject(step)
         except (FleetError, OSError) as exc:
             error = str(exc)
         return StepReport(
@@ -104,6 +104,6 @@
         )
 
 
-def log_tails(hosts: Iterable[Host]) -> list[str]:
-    """Give the last lines of the logs of hosts."""
+def tail_logs(hosts: Iterable[Host]) -> list[str]:
+    """Return the last log lines of each host."""
     return [f'--- {host.name}\n{host.process.tail()}' for host in hosts]
--- a/scripts/_experiment_verdict.py
+++ b/scripts/_experiment_verdict.py
@@ -1,4 +1,4 @@
-"""Whether an experiment kept the promises, as typed and printable values."""
+"""Evaluate an experiment against its promises and the fixed invariants."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @frozen(kw_only=True)
 class StepReport:
-    """A fault that was set off; times in seconds.
+    """A step that was run, with times in seconds.
 
-    `error` says what of it failed, such as a version not loaded in time.
+    `error` is the failure of the step, such as a version not loaded in time.
     """
 
     name: str
@@ -29,7 +29,7 @@
 
 @frozen(kw_only=True)
 class PromiseReport:
-    """A promise with the figure that was measured."""
+    """A promise with the measured figure."""
 
     name: str
     figure: str
@@ -39,18 +39,18 @@
     kept: bool
 
     def __str__(self) -> str:
-        """Give the line for people."""
+        """Return the line of the printed report."""
         most = '' if self.most is None else f', at most {self.most:g}'
-        told = 'kept' if self.kept else 'BROKEN'
+        status = 'kept' if self.kept else 'BROKEN'
         return (
             f'promise {self.name}: {self.figure}={self.measured:.4g} '
-            f'(at least {self.least:g}{most}): {told}'
+            f'(at least {self.least:g}{most}): {status}'
         )
 
 
 @frozen(kw_only=True)
 class Report:
-    """All that an experiment gives back; written as JSON."""
+    """Result of an experiment, written as JSON."""
 
     experiment: str
     seed: int
@@ -63,7 +63,7 @@
     broken: tuple[str, ...]
 
     def lines(self) -> list[str]:
-        """Give the report for people; the last line is the verdict."""
+        """Return the lines of the printed report, with the verdict last."""
         counts = ' '.join(f'{name}={n}' for name, n in self.books.items())
         return [
             *summary_lines(self.summary),
@@ -79,16 +79,16 @@
         ]
 
 
-def judge(
+def evaluate(
     experiment: Experiment,
     summary: Summary,
     verdict: Verdict,
     steps: tuple[StepReport, ...],
 ) -> Report:
-    """Hold the figures against what always has to hold and the promises."""
+    """Return the report: figures checked against invariants and promises."""
     promises = tuple(_check(each, summary) for each in experiment.promises)
     broken = (
-        *_broken_books(summary, verdict),
+        *_find_broken_invariants(summary, verdict),
         *(f'fault {step.name}: {step.error}' for step in steps if step.error),
         *(str(promise) for promise in promises if not promise.kept),
     )
@@ -115,7 +115,7 @@
 
 
 def measured(figure: str, group: Group, summary: Summary) -> float:
-    """Read a promise's figure of a group; infinite where nothing came."""
+    """Return a figure of a group; infinite for a time without a sample."""
     match figure:
         case 'latency_p95_s':
             return _or_infinite(group.latency.p95)
@@ -133,7 +133,7 @@
 
 def _check(promise: Promise, summary: Summary) -> PromiseReport:
     group = summary.group(promise.phase, promise.customer)
-    found = (
+    figure_value = (
         float('nan')
         if group is None
         else measured(promise.figure, group, summary)
@@ -144,13 +144,13 @@
         figure=promise.figure,
         least=promise.least,
         most=most,
-        measured=found,
-        kept=promise.least <= found <= promise.most,
+        measured=figure_value,
+        kept=promise.least <= figure_value <= promise.most,
     )
 
 
-def _broken_books(summary: Summary, verdict: Verdict) -> list[str]:
-    """Name what never may happen, whatever the file promises."""
+def _find_broken_invariants(summary: Summary, verdict: Verdict) -> list[str]:
+    """Return the violated invariants, which hold whatever the file promises."""
     broken = list(verdict.misses)
     if summary.never_ended:
         broken.append(f'{summary.never_ended} requests never got a final word')
--- a/scripts/_explore_world.py
+++ b/scripts/_explore_world.py
@@ -1,9 +1,9 @@
-"""A small world of one request, two agents and an unreliable network.
+"""State space of one request, two agents and an unreliable network.
 
-It holds the real aggregates of `crowrudder_core.requests` and every message in
-flight. `World.moves` lists all that may happen next; `World.after` gives the
-world after one of them. Messages are delivered in any order, may be lost, and
-may arrive twice while the budget for doubles lasts.
+A state holds the real aggregates of `crowrudder_core.requests` and every
+message in flight. `World.moves` yields all possible transitions; `World.apply`
+returns the state after one of them. Messages are delivered in any order, may
+be lost, and may be duplicated; each fault has a budget.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
 REQUEST_ID = 'r'
 DEADLINE = 10.0
-BEFORE = 1.0
-AFTER = 11.0
+BEFORE_DEADLINE = 1.0
+AFTER_DEADLINE = 11.0
 
 
 class Kind(enum.Enum):
-    """What a message in flight says."""
+    """Kind of a message in flight."""
 
     ATTEMPT = 'attempt'
     ASK = 'ask'
@@ -46,7 +46,7 @@
     FINAL = 'final'
 
 
-_TO_AGENT = frozenset(
+_AGENT_MESSAGE_KINDS = frozenset(
     (
         Kind.ATTEMPT,
         Kind.GRANTED,
@@ -68,29 +68,29 @@
 
 @frozen(order=True)
 class Move:
-    """One thing that may happen; ``agent`` and ``attempt`` as they apply."""
+    """A transition; ``agent`` and ``attempt`` are set where they apply."""
 
     act: str
     agent: str = ''
     attempt: int = 0
-    flying: Flying | None = None
+    message: Flying | None = None
 
 
-class BrokenPromiseError(AssertionError):
-    """The world reached a state that must never be."""
+class InvariantViolationError(AssertionError):
+    """A state violates an invariant of the protocol."""
 
 
 @define
 class World:
-    """One request that may not be repeated, and all that surrounds it."""
+    """State of one non-idempotent request, its owner, agents and network."""
 
     owner: RequestOwner
     ledgers: dict[str, AgentLedger]
-    lives: dict[str, int]
-    flying: tuple[Flying, ...] = ()
-    places: dict[int, str] = field(factory=dict)
+    incarnations: dict[str, int]
+    in_flight: tuple[Flying, ...] = ()
+    agent_by_attempt: dict[int, str] = field(factory=dict)
     settling: frozenset[int] = frozenset()
-    now: float = BEFORE
+    now: float = BEFORE_DEADLINE
     starts: int = 0
     entry_alive: bool = True
     doubles: int = 1
@@ -98,7 +98,7 @@
     deaths: int = 1
 
     def key(self) -> str:
-        """Give a text that is the same for the same state."""
+        """Return a text that is equal for equal states."""
         ledgers = {
             agent: sorted(
                 (record.key.attempt, record.stage.name)
@@ -114,9 +114,9 @@
                 ledgers,
                 holds,
                 self.owner.closed,
-                sorted(self.lives.items()),
-                sorted(self.flying),
-                sorted(self.places.items()),
+                sorted(self.incarnations.items()),
+                sorted(self.in_flight),
+                sorted(self.agent_by_attempt.items()),
                 sorted(self.settling),
                 self.now,
                 self.starts,
@@ -126,31 +126,33 @@
         )
 
     def moves(self) -> Iterator[Move]:
-        """List everything that may happen next."""
-        for flying in sorted(set(self.flying)):
-            yield Move('deliver', flying=flying)
+        """Yield every transition that is possible in this state."""
+        for message in sorted(set(self.in_flight)):
+            yield Move('deliver', message=message)
             if self.losses:
-                yield Move('lose', flying=flying)
+                yield Move('lose', message=message)
             if self.doubles:
-                yield Move('double', flying=flying)
+                yield Move('double', message=message)
         yield from self._agent_moves()
         yield from self._entry_moves()
         if self.now < DEADLINE:
             yield Move('deadline')
 
-    def after(self, move: Move) -> World:
-        """Give the world after a move, and check the promises there."""
+    def apply(self, move: Move) -> World:
+        """Return the state after a move, and check its invariants."""
         world = copy.deepcopy(self)
         getattr(world, f'_on_{move.act}')(move)
-        world.check()
+        world.check_invariants()
         return world
 
-    def check(self) -> None:
-        """Assert what callers were promised."""
+    def check_invariants(self) -> None:
+        """Raise if a guarantee to callers is violated."""
         if self.starts > 1:
-            raise BrokenPromiseError('the request started twice')
+            raise InvariantViolationError('the request started twice')
         if self.owner.closed is Outcome.NOT_RUN and self.starts:
-            raise BrokenPromiseError('"not run" was said of a started request')
+            raise InvariantViolationError(
+                '"not run" was said of a started request'
+            )
 
     def _agent_moves(self) -> Iterator[Move]:
         for agent, ledger in self.ledgers.items():
@@ -179,67 +181,76 @@
                 yield Move('send', agent)
         for key, hold in self.owner.holds.items():
             if hold.name in {'WAITING', 'GRANTED'}:
-                yield Move('break', self.places[key.attempt], key.attempt)
+                yield Move(
+                    'break', self.agent_by_attempt[key.attempt], key.attempt
+                )
         for attempt in self.settling:
-            if not self._asked_to_settle(attempt):
-                yield Move('settle', self.places[attempt], attempt)
-            yield Move('unreachable', self.places[attempt], attempt)
+            if not self._is_settle_in_flight(attempt):
+                yield Move('settle', self.agent_by_attempt[attempt], attempt)
+            yield Move('unreachable', self.agent_by_attempt[attempt], attempt)
+
+    def _is_settle_in_flight(self, attempt: int) -> bool:
+        """Return whether a settle request or its answer is in flight.
 
-    def _asked_to_settle(self, attempt: int) -> bool:
-        """Whether a question is still under way; more add only states."""
+        A second request would only add states.
+        """
         asked = {Kind.SETTLE.value, Kind.SETTLED.value}
         return any(
-            flying.attempt == attempt and flying.kind in asked
-            for flying in self.flying
+            message.attempt == attempt and message.kind in asked
+            for message in self.in_flight
         )
 
     def _may_send(self) -> bool:
         holds = self.owner.holds.values()
-        open_holds = any(hold.name != 'ENDED' for hold in holds)
-        return not open_holds and len(self.owner.holds) < 2
+        has_open_attempt = any(hold.name != 'ENDED' for hold in holds)
+        return not has_open_attempt and len(self.owner.holds) < 2
 
     def _on_send(self, move: Move) -> None:
         key = self.owner.open_attempt()
-        self.places[key.attempt] = self._life(move.agent)
-        self._fly(Kind.ATTEMPT, self._life(move.agent), key.attempt)
+        self.agent_by_attempt[key.attempt] = self._incarnation_id(move.agent)
+        self._send(Kind.ATTEMPT, self._incarnation_id(move.agent), key.attempt)
 
     def _on_deliver(self, move: Move) -> None:
-        flying = move.flying
-        if flying is None:
+        message = move.message
+        if message is None:
             return
-        self._take(flying)
-        self._arrive(flying)
+        self._remove_message(message)
+        self._deliver(message)
 
     def _on_lose(self, move: Move) -> None:
-        if move.flying is not None:
-            self._take(move.flying)
+        if move.message is not None:
+            self._remove_message(move.message)
             self.losses -= 1
 
     def _on_double(self, move: Move) -> None:
-        if move.flying is not None:
+        if move.message is not None:
             self.doubles -= 1
-            self._arrive(move.flying)
+            self._deliver(move.message)
 
     def _on_ask(self, move: Move) -> None:
         if self.ledgers[move.agent].ask(_key(move.attempt), now=self.now):
-            self._fly(Kind.ASK, self._life(move.agent), move.attempt)
+            self._send(Kind.ASK, self._incarnation_id(move.agent), move.attempt)
         else:
             self.ledgers[move.agent].refuse(_key(move.attempt), now=self.now)
-            self._fly(Kind.REFUSED, self._life(move.agent), move.attempt)
+            self._send(
+                Kind.REFUSED, self._incarnation_id(move.agent), move.attempt
+            )
 
     def _on_start(self, move: Move) -> None:
         if self.ledgers[move.agent].start(_key(move.attempt), now=self.now):
             self.starts += 1
         else:
-            self._fly(Kind.REFUSED, self._life(move.agent), move.attempt)
+            self._send(
+                Kind.REFUSED, self._incarnation_id(move.agent), move.attempt
+            )
 
     def _on_finish(self, move: Move) -> None:
         self.ledgers[move.agent].finish(_key(move.attempt), now=self.now)
-        self._fly(Kind.FINAL, self._life(move.agent), move.attempt)
+        self._send(Kind.FINAL, self._incarnation_id(move.agent), move.attempt)
 
     def _on_die(self, move: Move) -> None:
         self.ledgers[move.agent] = AgentLedger()
-        self.lives[move.agent] += 1
+        self.incarnations[move.agent] += 1
         self.deaths -= 1
 
     def _on_entry_dies(self, _move: Move) -> None:
@@ -247,7 +258,7 @@
         self.deaths -= 1
 
     def _on_deadline(self, _move: Move) -> None:
-        self.now = AFTER
+        self.now = AFTER_DEADLINE
 
     def _on_give_up(self, _move: Move) -> None:
         self.owner.close(Outcome.NOT_RUN)
@@ -260,96 +271,98 @@
                 return
 
     def _on_settle(self, move: Move) -> None:
-        self._fly(Kind.SETTLE, move.agent, move.attempt)
+        self._send(Kind.SETTLE, move.agent, move.attempt)
 
     def _on_unreachable(self, move: Move) -> None:
         self.settling -= {move.attempt}
-        verdict = self.owner.unreachable(_key(move.attempt))
-        if isinstance(verdict, Outcome):
-            self.owner.close(verdict)
+        decision = self.owner.unreachable(_key(move.attempt))
+        if isinstance(decision, Outcome):
+            self.owner.close(decision)
 
-    def _arrive(self, flying: Flying) -> None:
-        if Kind(flying.kind) in _TO_AGENT:
-            self._at_agent(flying)
+    def _deliver(self, message: Flying) -> None:
+        if Kind(message.kind) in _AGENT_MESSAGE_KINDS:
+            self._deliver_to_agent(message)
         elif self.entry_alive:
-            self._at_entry(flying)
+            self._deliver_to_entry(message)
 
-    def _at_agent(self, flying: Flying) -> None:
-        agent = flying.agent.split('.')[0]
-        current = self._life(agent) == flying.agent
+    def _deliver_to_agent(self, message: Flying) -> None:
+        agent = message.agent.split('.')[0]
+        current = self._incarnation_id(agent) == message.agent
         ledger = self.ledgers[agent]
-        key = _key(flying.attempt)
-        match Kind(flying.kind):
+        key = _key(message.attempt)
+        match Kind(message.kind):
             case Kind.ATTEMPT:
-                self._attempt_arrives(ledger, flying.agent, key)
+                self._receive_attempt(ledger, message.agent, key)
             case Kind.SETTLE:
                 state = (
                     ledger.settle(key, now=self.now)
                     if current
                     else SettledState.OTHER_INCARNATION
                 )
-                self._fly(
-                    Kind.SETTLED, flying.agent, flying.attempt, state.value
+                self._send(
+                    Kind.SETTLED, message.agent, message.attempt, state.value
                 )
             case kind if current and key in ledger.records:
                 granted = kind is Kind.GRANTED
                 ledger.permit(key, granted=granted, now=self.now)
 
-    def _attempt_arrives(
+    def _receive_attempt(
         self,
         ledger: AgentLedger,
-        life: str,
+        incarnation_id: str,
         key: AttemptKey,
     ) -> None:
         refusal = ledger.receive(_attempt(key, self.now), now=self.now)
         if refusal is not None:
-            self._fly(Kind.REFUSED, life, key.attempt, refusal.reason)
+            self._send(
+                Kind.REFUSED, incarnation_id, key.attempt, refusal.reason
+            )
 
-    def _at_entry(self, flying: Flying) -> None:
-        key = _key(flying.attempt)
-        match Kind(flying.kind):
+    def _deliver_to_entry(self, message: Flying) -> None:
+        key = _key(message.attempt)
+        match Kind(message.kind):
             case Kind.ASK:
                 granted = self.owner.grant(key, now=self.now)
                 answer = Kind.GRANTED if granted else Kind.DENIED
-                self._fly(answer, flying.agent, flying.attempt)
+                self._send(answer, message.agent, message.attempt)
             case Kind.SETTLED:
-                self._settled(key, SettledState(flying.note))
-            case Kind.REFUSED if _streaming(self.owner, key):
-                if flying.note != 'duplicate_message':
+                self._settle_attempt(key, SettledState(message.note))
+            case Kind.REFUSED if _is_streaming(self.owner, key):
+                if message.note != 'duplicate_message':
                     self.owner.refused(key)
-            case Kind.FINAL if _streaming(self.owner, key):
+            case Kind.FINAL if _is_streaming(self.owner, key):
                 self.owner.ended(key, Outcome.ANSWERED)
                 if self.owner.closed is None:
                     self.owner.close(Outcome.ANSWERED)
 
-    def _settled(self, key: AttemptKey, state: SettledState) -> None:
+    def _settle_attempt(self, key: AttemptKey, state: SettledState) -> None:
         if key.attempt not in self.settling or self.owner.closed is not None:
             return
         self.settling -= {key.attempt}
-        verdict = self.owner.settled(key, state)
-        if isinstance(verdict, Outcome):
-            self.owner.close(verdict)
+        decision = self.owner.settled(key, state)
+        if isinstance(decision, Outcome):
+            self.owner.close(decision)
 
-    def _life(self, agent: str) -> str:
-        return f'{agent}.{self.lives[agent]}'
+    def _incarnation_id(self, agent: str) -> str:
+        return f'{agent}.{self.incarnations[agent]}'
 
-    def _fly(
+    def _send(
         self,
         kind: Kind,
         agent: str,
         attempt: int,
         note: str = '',
     ) -> None:
-        self.flying += (Flying(kind.value, agent, attempt, note),)
+        self.in_flight += (Flying(kind.value, agent, attempt, note),)
 
-    def _take(self, flying: Flying) -> None:
-        rest = list(self.flying)
-        rest.remove(flying)
-        self.flying = tuple(rest)
+    def _remove_message(self, message: Flying) -> None:
+        remaining = list(self.in_flight)
+        remaining.remove(message)
+        self.in_flight = tuple(remaining)
 
 
 def new_world(*, doubles: int = 1, losses: int = 1, deaths: int = 1) -> World:
-    """Give the world before anything was sent."""
+    """Return the initial state, before anything was sent."""
     return World(
         owner=RequestOwner(
             REQUEST_ID,
@@ -358,15 +371,15 @@
             deadline=DEADLINE,
         ),
         ledgers={'a': AgentLedger(), 'b': AgentLedger()},
-        lives={'a': 1, 'b': 1},
+        incarnations={'a': 1, 'b': 1},
         doubles=doubles,
         losses=losses,
         deaths=deaths,
     )
 
 
-def _streaming(owner: RequestOwner, key: AttemptKey) -> bool:
-    """Whether the entry still listens to the attempt's stream."""
+def _is_streaming(owner: RequestOwner, key: AttemptKey) -> bool:
+    """Return whether the entry still reads the attempt's stream."""
     hold = owner.holds.get(key)
     return hold is not None and hold.name in {'WAITING', 'GRANTED'}
 
--- a/scripts/_faults.py
+++ b/scripts/_faults.py
@@ -1,4 +1,4 @@
-"""What may go wrong in a run, as values."""
+"""Faults that a run can inject, as values."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 @frozen
 class Kill:
-    """SIGKILL of a process, started again when the fault ends."""
+    """SIGKILL of a process, which is restarted when the fault ends."""
 
     process: Process
 
 
 @frozen
 class Freeze:
-    """SIGSTOP of a process, let go when the fault ends."""
+    """SIGSTOP of a process, resumed (SIGCONT) when the fault ends."""
 
     process: Process
 
 
 @frozen
 class StandinFault:
-    """A fault that a stand-in plays."""
+    """A fault that a stand-in simulates."""
 
     outside: Outside
     name: str
@@ -38,8 +38,8 @@
 class SharedKill:
     """SIGKILL of the platform, the origin or the store.
 
-    Started again they have what they had; the platform counts its revisions
-    anew.
+    After the restart they hold the same data, but the platform numbers its
+    revisions from the start.
     """
 
     outside: Outside
@@ -47,14 +47,14 @@
 
 @frozen
 class Restart:
-    """SIGTERM of hosts one after the other, each started again."""
+    """SIGTERM of hosts one after the other, each restarted."""
 
     hosts: tuple[Host, ...]
 
 
 @frozen
 class Cut:
-    """No connection between two sides."""
+    """Network partition between two groups of processes."""
 
     one: frozenset[str]
     other: frozenset[str]
@@ -69,7 +69,7 @@
 
 @frozen
 class OneWay:
-    """Bytes from one process to another stand still, without a reset."""
+    """Bytes from one process to another stall; the connection isn't reset."""
 
     source: str
     target: str
@@ -77,7 +77,7 @@
 
 @frozen
 class Slow:
-    """Each piece between two processes comes late."""
+    """Every chunk between two processes is delayed."""
 
     one: str
     other: str
@@ -89,8 +89,8 @@
 )
 
 
-def told(fault: Fault) -> str:
-    """Describe a fault for the log."""
+def describe_fault(fault: Fault) -> str:
+    """Return the description of a fault for the log."""
     match fault:
         case Kill(process=process):
             return f'kill {process.name}'
@@ -110,10 +110,11 @@
             return f'slow {one} and {other} by {delay_s:.2f}'
 
 
-def mark_of(fault: Fault) -> str:
-    """Name what a fault hits, so that the next one hits something else.
+def affected_target(fault: Fault) -> str:
+    """Return the name of what a fault affects.
 
-    A link may be at fault beside its ends.
+    Two faults with the same name aren't injected at once. A link and the
+    processes at its ends may be faulty at once.
     """
     match fault:
         case Kill(process=process) | Freeze(process=process):
@@ -125,7 +126,7 @@
         case Restart():
             return 'all'
         case Cut() | OneWay() | Slow():
-            return told(fault)
+            return describe_fault(fault)
 
 
 def processes_of(outside: Outside | None) -> tuple[Process, ...]:
--- a/scripts/_fleet_plan.py
+++ b/scripts/_fleet_plan.py
@@ -1,4 +1,4 @@
-"""How large a fleet of a run is."""
+"""Size and configuration of the fleet of a run."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @frozen
 class FleetPlan:
-    """How large a fleet is and how its stand-ins behave.
+    """Size of a fleet and behaviour of its stand-ins.
 
     Rates are in bytes a second, 0 for no limit. The processes of a `relayed`
-    fleet meet each other, the platform and the weight sources through
-    `Fleet.relay`, which can cut, freeze and slow their links.
+    fleet reach each other, the platform and the weight sources through
+    `Fleet.relay`, which can cut, stall and delay their links.
     """
 
     entries: int = 2
--- a/scripts/_hostile.py
+++ b/scripts/_hostile.py
@@ -1,6 +1,6 @@
-"""Calls that no honest caller makes, and what each may be answered.
+"""Malformed and abusive calls, and the answers that each may get.
 
-They go over plain sockets, as an HTTP client would refuse to send them.
+They are sent over plain sockets, as an HTTP client would refuse to send them.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
     from _caller import EntryAddress
 
-_ANSWER_S = 5.0
-_MOST_ANSWER_BYTES = 1 << 16
+_ANSWER_TIMEOUT_S = 5.0
+_MAX_ANSWER_BYTES = 1 << 16
 # Above `max_body_bytes` of the settings, whose default is a mebibyte.
-_OVERSIZE = 2 << 20
-_DEEP = 20_000
+_OVERSIZED_BODY_BYTES = 2 << 20
+_JSON_DEPTH = 20_000
 _REFUSALS = frozenset((400, 403, 404, 405, 413))
-_SLOW_CONNECTIONS = 40
-_END = b'\r\n\r\n'
+_STALLED_CONNECTIONS = 40
+_HEADER_END = b'\r\n\r\n'
 
 
 @frozen(kw_only=True)
 class HostileCall:
-    """Bytes to send, and the statuses that may answer them.
+    """Bytes to send, and the allowed statuses of the answer.
 
-    Where `may_close` is set the entry may also close without an answer, as
-    what it was sent isn't HTTP or can't be read to its end.
+    With `may_close` the entry may also close without an answer, as the bytes
+    aren't HTTP or the request is incomplete.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 @frozen(kw_only=True)
 class HostileAnswer:
-    """What came back; status 0 is a close without an answer."""
+    """Answer to a hostile call; status 0 is a close without an answer."""
 
     call: HostileCall
     status: int = 0
@@ -50,21 +50,21 @@
     body: bytes = b''
     hung: bool = False
 
-    def miss(self) -> str:
-        """Name what is wrong with it, by http.md; empty if nothing is."""
+    def violation(self) -> str:
+        """Return how the answer violates http.md; empty if it doesn't."""
         call = self.call
         if self.hung:
-            return f'{call.name}: no answer within {_ANSWER_S:g} s'
+            return f'{call.name}: no answer within {_ANSWER_TIMEOUT_S:g} s'
         if not self.status:
             return '' if call.may_close else f'{call.name}: closed'
         if self.status not in call.allowed:
             return f'{call.name}: answered {self.status}'
-        # What can't be parsed as HTTP is refused below the handlers.
+        # Bytes that can't be parsed as HTTP are refused before any handler.
         if call.may_close:
             return ''
-        return self._miss_of_refusal()
+        return self._refusal_violation()
 
-    def _miss_of_refusal(self) -> str:
+    def _refusal_violation(self) -> str:
         name, outcome = self.call.name, self.headers.get('x-outcome')
         if outcome != 'not_run':
             return f'{name}: {self.status} with X-Outcome {outcome}'
@@ -79,21 +79,21 @@
 
 
 def hostile_calls() -> tuple[HostileCall, ...]:
-    """Give one call of each kind; the names are those of examples/fleet."""
-    good = _completion()
+    """Return one call of each kind; the names are those of examples/fleet."""
+    valid_body = _completion()
     return (
-        *_not_http(good),
-        *_bad_headers(good),
+        *_not_http(valid_body),
+        *_bad_headers(valid_body),
         *_bad_bodies(),
-        *_bad_paths(good),
+        *_bad_paths(valid_body),
     )
 
 
-async def play(entry: EntryAddress, call: HostileCall) -> HostileAnswer:
-    """Send one call and read what comes until the entry closes."""
+async def send_call(entry: EntryAddress, call: HostileCall) -> HostileAnswer:
+    """Send one call and return the answer or the failure to answer."""
     reader, writer = await asyncio.open_connection(entry.address, entry.port)
     try:
-        async with asyncio.timeout(_ANSWER_S):
+        async with asyncio.timeout(_ANSWER_TIMEOUT_S):
             return await _exchange(call, reader, writer)
     except TimeoutError:
         return HostileAnswer(call=call, hung=True)
@@ -103,10 +103,10 @@
         writer.close()
 
 
-async def hold_open(entry: EntryAddress, seconds: float) -> None:
-    """Begin many requests at once, and go on with none of them."""
+async def hold_stalled_connections(entry: EntryAddress, seconds: float) -> None:
+    """Open many connections and send an incomplete request on each."""
     writers = []
-    for _ in range(_SLOW_CONNECTIONS):
+    for _ in range(_STALLED_CONNECTIONS):
         _, writer = await asyncio.open_connection(entry.address, entry.port)
         writer.write(b'POST /v1/completions HTTP/1.1\r\nX-Cust')
         writers.append(writer)
@@ -115,18 +115,21 @@
         writer.close()
 
 
-async def misses_of(entry: EntryAddress, seconds: float) -> list[str]:
-    """Send all calls, round after round, beside connections that stall."""
-    slow = asyncio.create_task(hold_open(entry, seconds))
-    misses: set[str] = set()
+async def find_violations(entry: EntryAddress, seconds: float) -> list[str]:
+    """Return the violations found while connections stall.
+
+    All calls are sent in turn for `seconds`.
+    """
+    stalled = asyncio.create_task(hold_stalled_connections(entry, seconds))
+    violations: set[str] = set()
     try:
-        while not slow.done():
+        while not stalled.done():
             for call in hostile_calls():
-                answer = await play(entry, call)
-                misses.add(answer.miss())
+                answer = await send_call(entry, call)
+                violations.add(answer.violation())
     finally:
-        slow.cancel()
-    return sorted(misses - {''})
+        stalled.cancel()
+    return sorted(violations - {''})
 
 
 async def _exchange(
@@ -135,20 +138,23 @@
     writer: asyncio.StreamWriter,
 ) -> HostileAnswer:
     writer.write(call.payload)
-    # It may answer before it has read all; draining would wait for that.
+    # The entry may answer before it has read everything; draining would wait
+    # for it to read on.
     if call.may_close:
         writer.write_eof()
-    head = await reader.readuntil(_END)
-    return await _answer(call, head, reader)
+    head = await reader.readuntil(_HEADER_END)
+    return await _read_answer(call, head, reader)
 
 
-async def _answer(
+async def _read_answer(
     call: HostileCall, head: bytes, reader: asyncio.StreamReader
 ) -> HostileAnswer:
     first, *lines = head.decode('latin-1').split('\r\n')
-    parted = [line.partition(':') for line in lines]
-    headers = {key.strip().lower(): text.strip() for key, _, text in parted}
-    length = min(int(headers.get('content-length', 0)), _MOST_ANSWER_BYTES)
+    header_fields = [line.partition(':') for line in lines]
+    headers = {
+        key.strip().lower(): text.strip() for key, _, text in header_fields
+    }
+    length = min(int(headers.get('content-length', 0)), _MAX_ANSWER_BYTES)
     return HostileAnswer(
         call=call,
         status=int(first.split()[1]),
@@ -157,18 +163,20 @@
     )
 
 
-def _not_http(good: bytes) -> Iterator[HostileCall]:
-    whole = _post('/v1/completions', good)
+def _not_http(valid_body: bytes) -> Iterator[HostileCall]:
+    request = _post('/v1/completions', valid_body)
     payloads = {
-        'garbage': bytes(range(128, 256)) * 8 + _END,
+        'garbage': bytes(range(128, 256)) * 8 + _HEADER_END,
         'no request line': b'\r\n\r\n\r\n',
-        'cut head': whole[:30],
-        'cut body': whole[:-5],
-        'huge header': _post('/v1/completions', good, X_Padding='x' * 100_000),
-        'two lengths': whole.replace(
+        'cut head': request[:30],
+        'cut body': request[:-5],
+        'huge header': _post(
+            '/v1/completions', valid_body, X_Padding='x' * 100_000
+        ),
+        'two lengths': request.replace(
             b'Content-Length:', b'Content-Length: 3\r\nContent-Length:'
         ),
-        'negative length': whole.replace(
+        'negative length': request.replace(
             b'Content-Length: ', b'Content-Length: -'
         ),
         'bad chunk': (
@@ -178,13 +186,13 @@
     }
     for name, payload in payloads.items():
         yield HostileCall(name=name, payload=payload, may_close=True)
-    oversized = _post('/v1/completions', b'x' * _OVERSIZE)
+    oversized = _post('/v1/completions', b'x' * _OVERSIZED_BODY_BYTES)
     yield HostileCall(
         name='oversized body', payload=oversized, allowed=frozenset((413,))
     )
 
 
-def _bad_headers(good: bytes) -> Iterator[HostileCall]:
+def _bad_headers(valid_body: bytes) -> Iterator[HostileCall]:
     path = '/v1/completions'
     headers = {
         'no customer': {'X_Customer': ''},
@@ -197,7 +205,7 @@
         'long deadline': {'X_Deadline_Ms': '9' * 5000},
     }
     for name, changed in headers.items():
-        yield HostileCall(name=name, payload=_post(path, good, **changed))
+        yield HostileCall(name=name, payload=_post(path, valid_body, **changed))
 
 
 def _bad_bodies() -> Iterator[HostileCall]:
@@ -206,7 +214,7 @@
         'no JSON': b'{"model": ',
         'no UTF-8': b'{"model": "\xff"}',
         'list': b'[]',
-        'deep JSON': b'{"model": ' + b'[' * _DEEP,
+        'deep JSON': b'{"model": ' + b'[' * _JSON_DEPTH,
         'unknown key': _completion(tenant='x'),
         'unknown model': _completion(model='nothing'),
         'plain service as model': _completion(model='portal'),
@@ -219,7 +227,7 @@
         yield HostileCall(name=name, payload=_post('/v1/completions', body))
 
 
-def _bad_paths(good: bytes) -> Iterator[HostileCall]:
+def _bad_paths(valid_body: bytes) -> Iterator[HostileCall]:
     paths = {
         'unknown path': '/v1/nothing',
         'unknown service': '/v1/services/nothing/x',
@@ -227,8 +235,8 @@
         'path out of the service': '/v1/services/nothing/../../v1/state',
     }
     for name, path in paths.items():
-        yield HostileCall(name=name, payload=_post(path, good))
-    other = _post('/v1/completions', good).replace(b'POST', b'DELETE', 1)
+        yield HostileCall(name=name, payload=_post(path, valid_body))
+    other = _post('/v1/completions', valid_body).replace(b'POST', b'DELETE', 1)
     yield HostileCall(name='wrong method', payload=other)
 
 
@@ -248,4 +256,4 @@
     lines.extend(
         f'{name.replace("_", "-")}: {text}' for name, text in headers.items()
     )
-    return '\r\n'.join(lines).encode() + _END + body
+    return '\r\n'.join(lines).encode() + _HEADER_END + body
--- a/scripts/_load_arrivals.py
+++ b/scripts/_load_arrivals.py
@@ -1,4 +1,4 @@
-"""When requests arrive and what they ask: pure, from the plan and its seed."""
+"""Generate arrival times and requests from a load plan and its seed."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
     from _load_plan import LoadPlan, Phase, Traffic
 
-# Longer than what entries and engines take for the prefix of a prompt.
+# Longer than what entries and engines use as the prefix of a prompt.
 _PREFIX_CHARS = 80
 
 
 @frozen(kw_only=True)
 class Arrival:
-    """A request, and when it comes in seconds from the load's start."""
+    """A request and its arrival time, in seconds from the load's start."""
 
     at_s: float
     phase: str
@@ -29,12 +29,12 @@
 
 
 def arrivals(plan: LoadPlan, *, tag: str) -> list[Arrival]:
-    """Lay down all arrivals, at most as many as the bounds allow.
+    """Return all arrivals, at most as many as the bounds allow.
 
     Parameters
     ----------
     tag
-        Begins each request id, so that two runs on one fleet share none.
+        Prefix of each request id, so that two runs on a fleet share no ids.
     """
     planned = itertools.islice(
         _arrivals(plan, tag), plan.bounds.requests_at_most
@@ -43,14 +43,14 @@
 
 
 def arrival_times(phase: Phase, rng: random.Random) -> Iterator[float]:
-    """Give the times of a phase, in seconds from its start, in order."""
+    """Return the ordered arrival times, in seconds from the phase's start."""
     steady = _steady_times(phase, rng)
     times = heapq.merge(steady, _burst_times(phase))
     return itertools.takewhile(lambda at_s: at_s < phase.seconds, times)
 
 
 def popularity(count: int, exponent: float) -> list[float]:
-    """Give weights that fall with the rank, by Zipf's law.
+    """Return weights that decrease with the rank, by Zipf's law.
 
     >>> popularity(4, 1)
     [1.0, 0.5, 0.3333333333333333, 0.25]
@@ -60,7 +60,7 @@
 
 def _arrivals(plan: LoadPlan, tag: str) -> Iterator[Arrival]:
     rng = random.Random(plan.bounds.seed)
-    sources = {each.name: _Source(each) for each in plan.traffic}
+    generators = {each.name: _RequestGenerator(each) for each in plan.traffic}
     numbers = itertools.count(1)
     starts = plan.starts_s()
     for phase in plan.phases:
@@ -72,7 +72,7 @@
             yield Arrival(
                 at_s=starts[phase.name] + at_s,
                 phase=phase.name,
-                request=sources[chosen].request(request_id, rng),
+                request=generators[chosen].request(request_id, rng),
             )
 
 
@@ -92,8 +92,8 @@
         yield from itertools.repeat(at_s, phase.burst_size)
 
 
-class _Source:
-    """Draws the requests of one kind of traffic."""
+class _RequestGenerator:
+    """Generates random requests of one kind of traffic."""
 
     def __init__(self, traffic: Traffic) -> None:
         self._traffic = traffic
--- a/scripts/_load_ini.py
+++ b/scripts/_load_ini.py
@@ -1,7 +1,7 @@
-"""Reading the sections of an INI file into data classes, checked as a whole.
+"""Read the sections of an INI file into data classes and report all faults.
 
-Each key is declared beside its attribute; the faults name file, section, key,
-what was found and what is allowed, as those of the processes' settings do.
+Each key is declared with its attribute. A fault names the file, section, key,
+what was found and what is allowed, like those of the processes' settings.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 
     from crowrudder_daemon.settings.schema import Kind
 
-_KIND = 'kind'
-_MOST_FILE_BYTES = 1 << 20
+_KIND_METADATA = 'kind'
+_MAX_FILE_BYTES = 1 << 20
 
 Declared = TypeVar('Declared')
 
 
-def ini(kind: Kind, *, default: Any = NOTHING) -> Any:
-    """Declare a key; without a default it has to be written."""
-    return field(default=default, metadata={_KIND: kind})
+def ini_key(kind: Kind, *, default: Any = NOTHING) -> Any:
+    """Return the attribute of a key, which is required without a default."""
+    return field(default=default, metadata={_KIND_METADATA: kind})
 
 
 def read_sections(path: Path) -> dict[str, dict[str, str]]:
-    """Read a file's texts by section and key, in its order.
+    """Return a file's texts by section and key, in the order of the file.
 
     Raises
     ------
     SettingsError
-        If it isn't a readable INI file.
+        If the file isn't a readable INI file.
     """
     parser = configparser.RawConfigParser(
         default_section='', delimiters=('=',), interpolation=None
     )
     try:
-        if path.stat().st_size > _MOST_FILE_BYTES:
+        if path.stat().st_size > _MAX_FILE_BYTES:
             raise ValueError('longer than a megabyte')
         parser.read_string(path.read_text(encoding='utf-8'), str(path))
     except (OSError, ValueError, configparser.Error) as exc:
@@ -56,51 +56,51 @@
 
 @define
 class SectionCheck:
-    """One pass over a file's sections, which collects the faults."""
+    """Parses a file's sections and collects the faults."""
 
     file: str
     sections: Mapping[str, Mapping[str, str]]
     faults: list[Fault] = field(factory=list)
 
-    def one(
-        self, section: str, declared: type[Declared], **given: object
+    def read_section(
+        self, section: str, declared: type[Declared], **preset: object
     ) -> Declared | None:
-        """Read a section; None if there is a fault in it.
+        """Return a parsed section, or None if it has a fault.
 
         Parameters
         ----------
         given
-            Attributes that come from elsewhere than the section's keys.
+            Values of attributes that aren't keys of the section.
         """
         before = len(self.faults)
         texts = dict(self.sections.get(section, {}))
-        read = dict(given)
+        values = dict(preset)
         for attribute in fields(declared):  # type: ignore[arg-type]
-            kind = attribute.metadata.get(_KIND)
+            kind = attribute.metadata.get(_KIND_METADATA)
             if kind is None:
                 continue
             text = texts.pop(attribute.name, None)
             if text is not None or attribute.default is NOTHING:
-                read[attribute.name] = self._parse(
+                values[attribute.name] = self._parse(
                     section, attribute.name, kind, text
                 )
         known = ', '.join(keys_of(declared))
         for key, text in texts.items():
-            self.refuse(section, key, text, f'only {known}')
-        return None if len(self.faults) > before else declared(**read)
+            self.add_fault(section, key, text, f'only {known}')
+        return None if len(self.faults) > before else declared(**values)
 
-    def many(
+    def read_named_sections(
         self, prefix: str, declared: type[Declared]
     ) -> tuple[Declared, ...]:
-        """Read the sections `[PREFIX:NAME]` in the order of the file."""
-        read = (
-            self.one(section, declared, name=name)
-            for section, name in self.named(prefix)
+        """Return the valid sections `[PREFIX:NAME]` in file order."""
+        values = (
+            self.read_section(section, declared, name=name)
+            for section, name in self.named_sections(prefix)
         )
-        return tuple(each for each in read if each is not None)
+        return tuple(each for each in values if each is not None)
 
-    def named(self, prefix: str) -> list[tuple[str, str]]:
-        """List the sections of a prefix, each with its name."""
+    def named_sections(self, prefix: str) -> list[tuple[str, str]]:
+        """Return the sections of a prefix, each with its name."""
         start = f'{prefix}:'
         return [
             (section, section.removeprefix(start))
@@ -108,14 +108,14 @@
             if section.startswith(start)
         ]
 
-    def refuse(
+    def add_fault(
         self, section: str, key: str, found: str | None, allowed: str
     ) -> None:
-        """Note a fault."""
+        """Record a fault."""
         self.faults.append(Fault(self.file, section, key, found, allowed))
 
-    def refuse_sections_but(self, *allowed: str) -> None:
-        """Note the sections that nobody reads; `x:` allows `[x:NAME]`."""
+    def reject_other_sections(self, *allowed: str) -> None:
+        """Record a fault for each unknown section; `x:` allows `[x:NAME]`."""
         shown = ', '.join(
             f'[{each}NAME]' if each.endswith(':') else f'[{each}]'
             for each in allowed
@@ -123,10 +123,10 @@
         for section in self.sections:
             prefix, colon, name = section.partition(':')
             if f'{prefix}{colon}' not in allowed or bool(colon) != bool(name):
-                self.refuse(section, '', f'[{section}]', f'only {shown}')
+                self.add_fault(section, '', f'[{section}]', f'only {shown}')
 
-    def end(self) -> None:
-        """Raise what was found, if anything."""
+    def raise_faults(self) -> None:
+        """Raise the recorded faults, if any."""
         if self.faults:
             raise SettingsError(tuple(self.faults))
 
@@ -138,14 +138,14 @@
                 return kind.parse(text)
         except ValueError:
             pass
-        self.refuse(section, key, text, kind.allowed)
+        self.add_fault(section, key, text, kind.allowed)
         return None
 
 
 def keys_of(declared: type) -> tuple[str, ...]:
-    """List the keys that a class declares."""
+    """Return the keys that a class declares."""
     return tuple(
         attribute.name
         for attribute in fields(declared)
-        if _KIND in attribute.metadata
+        if _KIND_METADATA in attribute.metadata
     )
--- a/scripts/_load_run.py
+++ b/scripts/_load_run.py
@@ -1,4 +1,4 @@
-"""Sending the arrivals at their times, as callers of the system do."""
+"""Send arrivals at their planned times, as callers of the fleet do."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
     from _load_arrivals import Arrival
     from _load_plan import Bounds
 
-# The final word may come so much later than the deadline.
-_OVERDUE_S = 1.0
-_BUSY = frozenset((429, 503))
-_MOST_SENDINGS = 50
+# The final outcome may arrive this much later than the deadline.
+_OVERDUE_MARGIN_S = 1.0
+_RETRYABLE_STATUSES = frozenset((429, 503))
+_MAX_SENDINGS = 50
 _JITTER_SHARE = 0.2
-_LEAST_PAUSE_S = 0.05
+_MIN_RESEND_DELAY_S = 0.05
 
 
 class NotLoopbackError(Exception):
-    """An address outside of this machine; nothing was sent to it."""
+    """The address isn't a loopback address; nothing was sent to it."""
 
     def __init__(self, address: str) -> None:
         super().__init__(f'{address}: use an address in 127.0.0.0/8 or ::1')
 
 
 def require_loopback(address: str) -> None:
-    """Refuse what isn't an IP number of this machine's loopback.
+    """Raise unless the address is a loopback IP address.
 
     Raises
     ------
     NotLoopbackError
-        If it is another address or a name.
+        If it is another IP address or a host name.
     """
     try:
-        own = ipaddress.ip_address(address).is_loopback
+        is_loopback_address = ipaddress.ip_address(address).is_loopback
     except ValueError:
-        own = False
-    if not own:
+        is_loopback_address = False
+    if not is_loopback_address:
         raise NotLoopbackError(address)
 
 
 class LoopbackCaller(Caller):
-    """A caller that uses only entries of this machine."""
+    """A caller that uses only entries at loopback addresses."""
 
     async def entries(self) -> Sequence[EntryAddress]:
         """Return the entries to use."""
@@ -60,18 +60,18 @@
             require_loopback(entry.address)
         return entries
 
-    def forget_entries(self) -> None:
-        """Ask for the entries again at the next call."""
+    def expire_entries(self) -> None:
+        """Discard the entries, so that the next call reads them again."""
         self._read_again_at = 0
 
 
 @frozen(kw_only=True)
 class CallResult:
-    """What became of an arrival, as its caller saw it.
+    """Result of an arrival, as its caller saw it.
 
-    Times are in seconds from the arrival's planned time, so that a load tool
-    or an entry that falls behind shows as latency. `answer` is None where
-    the request wasn't sent or never ended.
+    Times are in seconds from the arrival's planned time, so that a delay of
+    the load tool or of an entry counts as latency. `answer` is None if the
+    request wasn't sent or never ended.
     """
 
     arrival: Arrival
@@ -82,7 +82,7 @@
 
     @property
     def outcome(self) -> str:
-        """One of http.md's, `no_answer` or `not_sent`."""
+        """Return an outcome of http.md, `no_answer` or `not_sent`."""
         if not self.sendings:
             return 'not_sent'
         known = {'answered', 'not_run', 'failed', 'unknown'}
@@ -94,57 +94,57 @@
 
     @property
     def never_ended(self) -> bool:
-        """Whether the run of load ended before the request did."""
+        """Return whether the run of load ended before the request."""
         return self.sendings > 0 and self.answer is None
 
     @property
     def good(self) -> bool:
-        """Whether the answer came whole and before its deadline."""
+        """Return whether a complete answer arrived before the deadline."""
         deadline_s = self.arrival.request.deadline_ms / 1000
         return self.outcome == 'answered' and self.latency_s <= deadline_s
 
     @property
     def overdue(self) -> bool:
-        """Whether no final word came until the deadline and a grace."""
+        """Return whether the final outcome came after deadline and margin."""
         deadline_s = self.arrival.request.deadline_ms / 1000
         sent = self.sendings > 0
-        return sent and self.latency_s > deadline_s + _OVERDUE_S
+        return sent and self.latency_s > deadline_s + _OVERDUE_MARGIN_S
 
 
-def pause_before_resend(answer: Answer, *, resend_lost: str) -> float | None:
-    """Tell after how many seconds the request may be sent again, if at all.
+def find_resend_delay_s(answer: Answer, *, resend_lost: str) -> float | None:
+    """Return the delay in seconds before a request may be resent, or None.
 
-    http.md: what is refused as not run may be, after `Retry-After`; what may
-    have run only if it is idempotent.
+    By http.md, a request refused as not run may be resent after `Retry-After`;
+    one that may have run, only if it is idempotent.
     """
-    if answer.outcome == 'not_run' and answer.status in _BUSY:
-        return max(_LEAST_PAUSE_S, answer.retry_after_s)
+    if answer.outcome == 'not_run' and answer.status in _RETRYABLE_STATUSES:
+        return max(_MIN_RESEND_DELAY_S, answer.retry_after_s)
     if answer.detail == REFUSED:
-        return _LEAST_PAUSE_S
+        return _MIN_RESEND_DELAY_S
     may_resend = resend_lost == 'idempotent' and answer.request.idempotent
-    return _LEAST_PAUSE_S if answer.broken and may_resend else None
+    return _MIN_RESEND_DELAY_S if answer.broken and may_resend else None
 
 
 @define
-class _Clock:
-    """The time of one call, and when its first part came."""
+class _CallTimer:
+    """Measures the time of a call and of its first chunk."""
 
-    arrived: float
-    first_part_s: float | None = None
+    arrived_at: float
+    first_chunk_s: float | None = None
 
     def elapsed_s(self) -> float:
-        return time.monotonic() - self.arrived
+        return time.monotonic() - self.arrived_at
 
     def on_chunk(self) -> None:
-        if self.first_part_s is None:
-            self.first_part_s = self.elapsed_s()
+        if self.first_chunk_s is None:
+            self.first_chunk_s = self.elapsed_s()
 
 
 @define
 class LoadRun:
-    """One open-loop run: arrivals don't wait for answers.
+    """An open-loop run, in which arrivals don't wait for answers.
 
-    Above the bound on concurrency a request isn't sent, and counted so.
+    Above the limit on concurrency a request isn't sent, and counts as such.
     """
 
     caller: Caller
@@ -154,20 +154,20 @@
     _running: dict[asyncio.Task[None], Arrival] = field(factory=dict)
 
     async def run(self, planned: Sequence[Arrival]) -> list[CallResult]:
-        """Send all at their times and wait for the last answers.
+        """Send all arrivals at their times and wait for the last answers.
 
         Raises
         ------
         Exception
-            The first fault of the load tool itself: what it counted would
-            lack a request.
+            The first failure of the load tool itself, as the counts would lack
+            a request.
         """
         started = time.monotonic()
         for arrival in planned:
             due = started + arrival.at_s
             await asyncio.sleep(due - time.monotonic())
             self._start(arrival, due)
-        await self._end()
+        await self._await_running()
         if self.faults:
             raise self.faults[0]
         return self.results
@@ -191,51 +191,53 @@
         if fault is not None:
             self.faults.append(fault)
 
-    async def _end(self) -> None:
+    async def _await_running(self) -> None:
         running = list(self._running)
         if not running:
             return
-        _, late = await asyncio.wait(running, timeout=self.bounds.wait_s)
-        for task in late:
+        _, unfinished = await asyncio.wait(running, timeout=self.bounds.wait_s)
+        for task in unfinished:
             task.cancel()
-        # Also waits for the callbacks, which came before this one.
+        # This also waits for the done callbacks, which were added earlier.
         await asyncio.gather(*running, return_exceptions=True)
 
     async def _call(self, arrival: Arrival, due: float) -> None:
         rng = random.Random(f'{self.bounds.seed} {arrival.request.request_id}')
         deadline_s = arrival.request.deadline_ms / 1000
-        clock = _Clock(due)
+        timer = _CallTimer(due)
         sendings = 0
         while True:
-            left_s = max(0.001, deadline_s - clock.elapsed_s())
-            answer = await self._send(arrival, clock, left_s)
+            remaining_s = max(0.001, deadline_s - timer.elapsed_s())
+            answer = await self._send(arrival, timer, remaining_s)
             sendings += 1
-            pause_s = pause_before_resend(
+            delay_s = find_resend_delay_s(
                 answer, resend_lost=self.bounds.resend_lost
             )
-            if pause_s is None or sendings == _MOST_SENDINGS:
+            if delay_s is None or sendings == _MAX_SENDINGS:
                 break
-            # Many callers were told the same time; they spread over it.
-            pause_s *= 1 + _JITTER_SHARE * rng.random()
-            if clock.elapsed_s() + pause_s >= deadline_s:
+            # Many callers got the same `Retry-After`; jitter spreads them.
+            delay_s *= 1 + _JITTER_SHARE * rng.random()
+            if timer.elapsed_s() + delay_s >= deadline_s:
                 break
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(delay_s)
         self.results.append(
             CallResult(
                 arrival=arrival,
                 answer=answer,
                 sendings=sendings,
-                latency_s=clock.elapsed_s(),
-                first_token_s=clock.first_part_s if answer.whole else None,
+                latency_s=timer.elapsed_s(),
+                first_token_s=timer.first_chunk_s if answer.whole else None,
             )
         )
 
     async def _send(
-        self, arrival: Arrival, clock: _Clock, left_s: float
+        self, arrival: Arrival, timer: _CallTimer, remaining_s: float
     ) -> Answer:
-        # The error of an earlier sending isn't the answer's first part.
-        clock.first_part_s = None
+        # A chunk of an earlier error isn't the first chunk of the answer.
+        timer.first_chunk_s = None
         return await self.caller.send(
-            evolve(arrival.request, deadline_ms=max(1, int(left_s * 1000))),
-            on_chunk=clock.on_chunk,
+            evolve(
+                arrival.request, deadline_ms=max(1, int(remaining_s * 1000))
+            ),
+            on_chunk=timer.on_chunk,
         )
--- a/scripts/_load_summary.py
+++ b/scripts/_load_summary.py
@@ -1,4 +1,4 @@
-"""The figures of a run of load, typed and printable."""
+"""Compute the figures of a run of load."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @frozen(kw_only=True)
 class Quantiles:
-    """Times in seconds; None where nothing was measured."""
+    """Quantiles of times in seconds; None without a sample."""
 
     p50: float | None = None
     p95: float | None = None
@@ -34,7 +34,7 @@
 
     @classmethod
     def of(cls, times: Iterable[float]) -> Quantiles:
-        """Take the nearest ranks of measured times.
+        """Return the nearest-rank quantiles of measured times.
 
         >>> Quantiles.of([3.0, 1.0, 2.0]).p50
         2.0
@@ -51,7 +51,7 @@
 
 
 def nearest_rank(ordered: Sequence[float], share: float) -> float:
-    """Give the least time that covers this share of all.
+    """Return the smallest time that covers this share of all.
 
     >>> nearest_rank([1.0, 2.0, 3.0, 4.0], 0.5)
     2.0
@@ -63,8 +63,8 @@
 class Group:
     """The results of one phase, one customer, or both together.
 
-    `goodput_per_s` counts whole answers within their deadlines. Latencies are
-    those of whole answers. `seconds` is how long requests arrived.
+    `goodput_per_s` counts complete answers within their deadlines. Latencies
+    are those of complete answers. `seconds` is how long requests arrived.
     """
 
     name: str
@@ -79,32 +79,38 @@
 
     @property
     def rate_per_s(self) -> float:
-        """The rate that was offered."""
+        """Return the offered rate."""
         return self.requests / self.seconds
 
     @property
     def goodput_per_s(self) -> float:
-        """Whole answers in time, a second."""
+        """Return the complete answers in time per second."""
         return self.good / self.seconds
 
     @property
     def good_share(self) -> float:
-        """Whole answers in time over requests; 1 where there were none."""
+        """Return the share of requests with a complete answer in time.
+
+        1 if there were no requests.
+        """
         return self.good / self.requests if self.requests else 1.0
 
     @property
     def whole_share(self) -> float:
-        """Whole answers over requests; 1 where there were none."""
-        whole = self.outcomes.get('answered', 0)
-        return whole / self.requests if self.requests else 1.0
+        """Return the share of requests with a complete answer.
+
+        1 if there were no requests.
+        """
+        complete = self.outcomes.get('answered', 0)
+        return complete / self.requests if self.requests else 1.0
 
 
 @frozen(kw_only=True)
 class FlawCounts:
-    """Answers that weren't what they claimed, over all sendings.
+    """Defective answers over all sendings.
 
-    `broken_off` counts connections that ended before the answer did: their
-    callers know it. The others claimed to be good.
+    `broken_off` counts connections that ended before the answer did, which
+    their callers notice. The others reported success.
     """
 
     broken_off: int
@@ -114,7 +120,7 @@
 
     @property
     def false_claims(self) -> int:
-        """How many answers claimed to be good and weren't."""
+        """Return the number of defective answers that reported success."""
         return self.truncated + self.mixed + self.crossed
 
 
@@ -122,7 +128,8 @@
 class Summary:
     """All figures of a run.
 
-    `codes` counts the last answers that weren't good, by outcome and code.
+    `codes` counts the final answers that aren't `answered`, by outcome and
+    code.
     """
 
     seed: int
@@ -136,7 +143,7 @@
     codes: dict[str, int]
 
     def group(self, phase: str = '', customer: str = '') -> Group | None:
-        """Find a phase, a customer, a customer in a phase, or the total."""
+        """Return a phase, a customer, a customer in a phase, or the total."""
         name = '/'.join(part for part in (phase, customer) if part)
         groups = (self.total, *self.phases, *self.customers, *self.parts)
         return next(
@@ -149,7 +156,7 @@
     results: Sequence[CallResult],
     answers: Sequence[Answer],
 ) -> Summary:
-    """Count all results, and the flaws over the answers to all sendings."""
+    """Return the figures of all results, and the flaws of all answers."""
     seconds = {phase.name: phase.seconds for phase in plan.phases}
     by_phase: dict[str, list[CallResult]] = defaultdict(list)
     by_customer: dict[str, list[CallResult]] = defaultdict(list)
@@ -182,8 +189,8 @@
 
 def _group(name: str, seconds: float, results: Sequence[CallResult]) -> Group:
     counts = Counter(each.outcome for each in results)
-    whole = [each for each in results if each.outcome == 'answered']
-    first = [each.first_token_s for each in whole]
+    complete = [each for each in results if each.outcome == 'answered']
+    first = [each.first_token_s for each in complete]
     return Group(
         name=name,
         seconds=seconds,
@@ -192,7 +199,7 @@
         good=sum(each.good for each in results),
         overdue=sum(each.overdue for each in results),
         sendings=sum(each.sendings for each in results),
-        latency=Quantiles.of(each.latency_s for each in whole),
+        latency=Quantiles.of(each.latency_s for each in complete),
         first_token=Quantiles.of(at_s for at_s in first if at_s is not None),
     )
 
@@ -220,9 +227,9 @@
 
 
 def code_of(answer: Answer) -> str:
-    """Give the code in an error's text; empty where there is none.
+    """Return the code in an error's text; empty if there is none.
 
-    It stands there as JSON, or as a stream's last event was decoded.
+    The text is JSON, or the `repr` of a stream's decoded last event.
     """
     found = _CODE.search(answer.detail)
     return found[1] if found else ''
--- a/scripts/_load_text.py
+++ b/scripts/_load_text.py
@@ -1,4 +1,4 @@
-"""The summary of a run of load as text."""
+"""Format the summary of a run of load as text."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def summary_lines(summary: Summary) -> list[str]:
-    """Lay out the phases, the customers and the total."""
+    """Return the lines of the table of groups and of the counts."""
     groups = (
         *summary.phases,
         *summary.customers,
@@ -49,7 +49,7 @@
 
 
 def aligned(rows: Sequence[Sequence[str]]) -> list[str]:
-    """Pad the columns: the first to the left, the others to the right."""
+    """Return the rows as lines, with all but the first column right-aligned."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     return [_line(row, widths) for row in rows]
 
--- a/scripts/_web.py
+++ b/scripts/_web.py
@@ -1,4 +1,4 @@
-"""HTTP calls of a run to what it started."""
+"""HTTP client for the control and admin interfaces of a run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Web:
-    """Calls to control and admin addresses."""
+    """Sends requests to control and admin addresses."""
 
     def __init__(self) -> None:
         self._client = AsyncHTTPClient(force_instance=True, max_clients=100)
@@ -26,7 +26,13 @@
         body: bytes | None = None,
         timeout_s: float = 5,
     ) -> HTTPResponse:
-        """Call and return any answer; OSError or HTTPError if none came."""
+        """Send a request and return the answer, whatever its status.
+
+        Raises
+        ------
+        OSError, HTTPError
+            If no answer arrived.
+        """
         return await self._client.fetch(
             url,
             method=method,
@@ -43,7 +49,7 @@
         url: str,
         sent: Mapping[str, Any] | None = None,
     ) -> Any:
-        """Call and decode a JSON answer with status 200."""
+        """Send a request and return the JSON of an answer with status 200."""
         body = None if sent is None else json.dumps(sent).encode()
         answer = await self.fetch(method, url, body)
         if answer.code != 200:
@@ -51,13 +57,13 @@
         return json.loads(answer.body)
 
     async def tried_json(self, url: str) -> Any:
-        """Read JSON, or None from a peer that doesn't answer well."""
+        """Return the JSON read from a URL, or None if that fails."""
         with contextlib.suppress(Exception):
             return await self.json('GET', url)
         return None
 
     async def tried_answer(self, url: str) -> bool:
-        """Tell whether a peer answers with 200."""
+        """Return whether a URL answers with status 200."""
         try:
             answer = await self.fetch('GET', url)
         except (OSError, HTTPError):
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""From declared files to served requests on a fleet of local processes.
+"""Run a fleet of local processes from declared files and send it requests.
 
 Environment: KEEP=1 leaves the fleet running until Ctrl-C.
 """
@@ -28,26 +28,26 @@
     origin_rate=8_000_000,
     engine_options=('--token-interval=0.005', '--load-s=0.2'),
 )
-FIRST = Weights('listing-v1', seed=1)
-SECOND = Weights('listing-v2', seed=2, stored=False)
-LOAD_S = 20
-BATCH = 40
-GAP_S = 0.01
+FIRST_WEIGHTS = Weights('listing-v1', seed=1)
+SECOND_WEIGHTS = Weights('listing-v2', seed=2, stored=False)
+LOAD_TIMEOUT_S = 20
+BATCH_SIZE = 40
+REQUEST_INTERVAL_S = 0.01
 LONG_TOKENS = 200
-WHOLE_RUN_S = 58
-# Only the second version has to come from the origin: one copy, and a tenth
-# for chunks asked for twice.
-LEAST_COPIES = 1.0
-MOST_COPIES = 1.1
+RUN_TIMEOUT_S = 58
+# Only the second version must be read from the origin: one copy, and a margin
+# of a tenth for chunks requested twice.
+MIN_ORIGIN_COPIES = 1.0
+MAX_ORIGIN_COPIES = 1.1
 
 
-def say(line: str) -> None:
-    """Print a line at once."""
+def print_line(line: str) -> None:
+    """Print a line and flush."""
     print(line, flush=True)
 
 
 def request(number: int) -> Request:
-    """Return one of a mixture of requests."""
+    """Return the request with this number, in a fixed mix of kinds."""
     if number % 8 == 7:
         return Request(
             request_id=f'enquiry-{number}',
@@ -67,31 +67,31 @@
 
 
 class Stop(Exception):
-    """The demo can't go on."""
+    """The demo cannot continue."""
 
 
 @frozen
 class Outcome:
-    """What the books and the callers say at the end."""
+    """Result from the request logs, the callers and the exit codes."""
 
     verdict: Verdict
     origin_copies: float
     exit_codes: dict[str, int | None]
 
-    def misses(self) -> list[str]:
-        """Name all that isn't as it has to be."""
+    def violations(self) -> list[str]:
+        """Return everything that violates the demo's expectations."""
         verdict = self.verdict
-        misses = list(verdict.misses)
-        misses.extend(verdict.not_whole)
-        if not LEAST_COPIES <= self.origin_copies <= MOST_COPIES:
-            misses.append(f'{self.origin_copies} copies from the origin')
+        violations = list(verdict.misses)
+        violations.extend(verdict.not_whole)
+        if not MIN_ORIGIN_COPIES <= self.origin_copies <= MAX_ORIGIN_COPIES:
+            violations.append(f'{self.origin_copies} copies from the origin')
         for name, code in self.exit_codes.items():
             if code != 0:
-                misses.append(f'{name} ended with {code}')
-        return misses
+                violations.append(f'{name} ended with {code}')
+        return violations
 
     def line(self, *, ok: bool) -> str:
-        """Return the last line."""
+        """Return the summary line."""
         verdict = self.verdict
         return (
             f'demo: {"ok" if ok else "failed"} requests={verdict.requests} '
@@ -102,17 +102,17 @@
 
 
 class Demo:
-    """The steps of the demo over one fleet."""
+    """The steps of the demo on one fleet."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._declared = Declared.from_example(fleet.directory / 'declared')
         self._caller: Caller | None = None
-        self._sent = 0
+        self._request_count = 0
 
     @property
     def caller(self) -> Caller:
-        """The caller, once an entry is up."""
+        """Return the caller, created at the first use."""
         if self._caller is None:
             member = self._fleet.entries[0].member
             url = f'http://{member["address"]}:{member["http_port"]}'
@@ -120,31 +120,35 @@
         return self._caller
 
     async def prepare(self) -> None:
-        """Start everything and load the first version."""
-        say('starting platform, store, origin, entries, agents and engines')
+        """Start all processes and load the first version."""
+        print_line(
+            'starting platform, store, origin, entries, agents and engines'
+        )
         await self._fleet.start()
-        await self._publish(FIRST)
-        await self._await_loaded(FIRST)
+        await self._publish(FIRST_WEIGHTS)
+        await self._await_loaded(FIRST_WEIGHTS)
 
     async def run(self) -> Outcome:
-        """Send requests over a change of the version, then drain."""
+        """Send requests during a change of version, then drain."""
         entries = await self.caller.entries()
-        say(f'GET /v1/entries: {[each.url for each in entries]}')
+        print_line(f'GET /v1/entries: {[each.url for each in entries]}')
         if len(entries) != PLAN.entries:
             raise Stop(f'{len(entries)} entries named')
-        await self._requests(BATCH)
-        say(f'{self._sent} requests sent; publishing the second version')
-        await self._publish(SECOND)
-        loading = asyncio.create_task(self._await_loaded(SECOND))
+        await self._requests(BATCH_SIZE)
+        print_line(
+            f'{self._request_count} requests sent; publishing the second version'
+        )
+        await self._publish(SECOND_WEIGHTS)
+        loading = asyncio.create_task(self._await_loaded(SECOND_WEIGHTS))
         while not loading.done():
             await self._requests(4)
         await loading
-        await self._requests(BATCH)
-        say(await self.status())
-        return await self._end()
+        await self._requests(BATCH_SIZE)
+        print_line(await self.status())
+        return await self._drain_under_load()
 
     async def status(self) -> str:
-        """Return what the operators' client shows."""
+        """Return the status printed by the operators' client."""
         member = self._fleet.entries[0].member
         admin = f'{member["address"]}:{member["admin_port"]}'
         return await client('status', admin)
@@ -187,29 +191,29 @@
 
     async def _publish(self, weights: Weights) -> None:
         digest = await self._declared.publish(self._fleet, weights)
-        say(f'published {weights.version}: bundle {digest[:12]}')
+        print_line(f'published {weights.version}: bundle {digest[:12]}')
 
     async def _await_loaded(self, weights: Weights) -> None:
         async def loaded() -> bool:
             return await self._fleet.loaded(weights.version)
 
         step = f'load {weights.version}'
-        await until(loaded, step=step, timeout_s=LOAD_S)
-        say(f'{weights.version} is loaded on every engine')
+        await until(loaded, step=step, timeout_s=LOAD_TIMEOUT_S)
+        print_line(f'{weights.version} is loaded on every engine')
 
     async def _requests(self, count: int) -> list[Answer]:
         tasks = []
         for _ in range(count):
-            self._sent += 1
-            call = self.caller.call(request(self._sent))
+            self._request_count += 1
+            call = self.caller.call(request(self._request_count))
             tasks.append(asyncio.create_task(call))
-            await asyncio.sleep(GAP_S)
+            await asyncio.sleep(REQUEST_INTERVAL_S)
         return await asyncio.gather(*tasks)
 
-    async def _end(self) -> Outcome:
-        """Drain while long streams run; none of them may be cut."""
+    async def _drain_under_load(self) -> Outcome:
+        """Drain while long streams run, none of which may be cut."""
         streams = [await self._long_stream() for _ in range(4)]
-        say('SIGTERM to all while 4 streams run')
+        print_line('SIGTERM to all while 4 streams run')
         exit_codes = await self._fleet.drain(self._fleet.hosts)
         await asyncio.gather(*streams)
         books = await self._fleet.books(self._fleet.origin)
@@ -223,57 +227,57 @@
         )
 
     async def _long_stream(self) -> asyncio.Task[Answer]:
-        self._sent += 1
+        self._request_count += 1
         long = evolve(
-            request(self._sent * 8),
+            request(self._request_count * 8),
             max_tokens=LONG_TOKENS,
             streamed=True,
             idempotent=False,
         )
-        begun = asyncio.Event()
-        task = asyncio.create_task(self.caller.send(long, on_chunk=begun.set))
-        task.add_done_callback(lambda _task: begun.set())
-        await begun.wait()
+        started = asyncio.Event()
+        task = asyncio.create_task(self.caller.send(long, on_chunk=started.set))
+        task.add_done_callback(lambda _task: started.set())
+        await started.wait()
         return task
 
 
-async def keep(demo: Demo) -> int:
-    """Leave the fleet running until Ctrl-C."""
+async def keep_running(demo: Demo) -> int:
+    """Keep the fleet running until Ctrl-C."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stopped.set)
     await demo.prepare()
-    say(await demo.status())
-    say(demo.hints())
+    print_line(await demo.status())
+    print_line(demo.hints())
     await stopped.wait()
     return 0
 
 
-async def timed(demo: Demo) -> int:
-    """Run the demo within its time and print the verdict."""
-    async with asyncio.timeout(WHOLE_RUN_S):
+async def run_with_timeout(demo: Demo) -> int:
+    """Run the demo within its timeout and print the result."""
+    async with asyncio.timeout(RUN_TIMEOUT_S):
         await demo.prepare()
         outcome = await demo.run()
-    misses = outcome.misses()
-    for miss in misses:
-        say(miss)
-    say(outcome.line(ok=not misses))
-    return 1 if misses else 0
+    violations = outcome.violations()
+    for violation in violations:
+        print_line(violation)
+    print_line(outcome.line(ok=not violations))
+    return 1 if violations else 0
 
 
 async def main() -> int:
-    """Run it over a fleet in a temporary directory."""
+    """Run the demo on a fleet in a temporary directory."""
     end_on_signal(signal.SIGTERM)
     with tempfile.TemporaryDirectory(prefix='crowrudder-') as directory:
         fleet = Fleet(PLAN, Path(directory))
         try:
-            run = keep if os.environ.get('KEEP') else timed
+            run = keep_running if os.environ.get('KEEP') else run_with_timeout
             return await run(Demo(fleet))
         except (FleetError, Stop, TimeoutError) as exc:
             for host in fleet.hosts:
-                say(f'--- {host.name}\n{host.process.tail()}')
-            say(f'demo: failed {exc!r}')
+                print_line(f'--- {host.name}\n{host.process.tail()}')
+            print_line(f'demo: failed {exc!r}')
             return 1
         finally:
             fleet.close()
--- a/scripts/experiment.py
+++ b/scripts/experiment.py
@@ -21,7 +21,7 @@
 
 import msgspec
 from _experiment_plan import Experiment, read_experiment
-from _experiment_run import ExperimentRun, log_tails
+from _experiment_run import ExperimentRun, tail_logs
 from _experiment_verdict import Report
 from _process import FleetError, end_on_signal
 from attrs import evolve
@@ -29,11 +29,11 @@
 
 from crowrudder_daemon.settings import SettingsError
 
-WHOLE_RUN_S = 120
+RUN_TIMEOUT_S = 120
 
 
-def seeded(experiment: Experiment, seed: str | None) -> Experiment:
-    """Replace the seed."""
+def with_seed(experiment: Experiment, seed: str | None) -> Experiment:
+    """Return the experiment with another seed, if one is given."""
     if seed is None:
         return experiment
     bounds = evolve(experiment.load.bounds, seed=int(seed))
@@ -41,14 +41,14 @@
 
 
 async def run_in(experiment: Experiment, directory: Path) -> Report | None:
-    """Run an experiment on a fleet whose files are in a directory."""
+    """Run an experiment on a fleet that keeps its files in a directory."""
     end_on_signal(signal.SIGTERM)
     run = ExperimentRun(experiment, directory)
     try:
-        async with asyncio.timeout(WHOLE_RUN_S):
+        async with asyncio.timeout(RUN_TIMEOUT_S):
             return await run.run()
     except (FleetError, TimeoutError) as exc:
-        print('\n'.join(log_tails(run.fleet.hosts)))
+        print('\n'.join(tail_logs(run.fleet.hosts)))
         print(f'experiment {experiment.name}: failed {exc!r}', flush=True)
         return None
     finally:
@@ -58,7 +58,7 @@
 def run_one(
     experiment: Experiment, *, out: Path | None, logs: Path | None
 ) -> bool:
-    """Run an experiment, print its report and tell whether it passed."""
+    """Run an experiment, print its report and return whether it passed."""
     with tempfile.TemporaryDirectory(prefix='crowrudder-') as temporary:
         directory = Path(temporary)
         if logs is not None:
@@ -76,12 +76,12 @@
 
 
 def main() -> int:
-    """Check all files first, then run one after the other."""
+    """Check all files first, then run the experiments one after the other."""
     options = docopt(__doc__ or '')
     seed = options['--seed']
     try:
         experiments = [
-            seeded(read_experiment(Path(path)), seed)
+            with_seed(read_experiment(Path(path)), seed)
             for path in options['FILE']
         ]
         out, logs = (
--- a/scripts/explore.py
+++ b/scripts/explore.py
@@ -18,7 +18,7 @@
 import sys
 from collections import deque
 
-from _explore_world import BrokenPromiseError, Move, World, new_world
+from _explore_world import InvariantViolationError, Move, World, new_world
 from attrs import frozen
 from docopt import docopt
 
@@ -26,34 +26,36 @@
 
 
 @frozen
-class Explored:
-    """What an exploration found."""
+class ExplorationResult:
+    """Result of an exploration."""
 
     states: int
-    whole: bool
+    complete: bool
     broken: str = ''
-    story: tuple[Move, ...] = ()
+    path: tuple[Move, ...] = ()
 
 
-def explore(first: World, *, most_states: int) -> Explored:
-    """Visit states breadth first until all are seen or a promise breaks."""
+def explore(first: World, *, most_states: int) -> ExplorationResult:
+    """Visit states breadth first until all are seen or an invariant fails."""
     seen = {first.key()}
     queue: deque[tuple[World, tuple[Move, ...]]] = deque([(first, ())])
     while queue:
-        world, story = queue.popleft()
+        world, path = queue.popleft()
         for move in world.moves():
             try:
-                following = world.after(move)
-            except (BrokenPromiseError, InvariantError) as exc:
-                return Explored(len(seen), False, str(exc), (*story, move))
-            key = following.key()
+                next_world = world.apply(move)
+            except (InvariantViolationError, InvariantError) as exc:
+                return ExplorationResult(
+                    len(seen), False, str(exc), (*path, move)
+                )
+            key = next_world.key()
             if key in seen:
                 continue
             if len(seen) >= most_states:
-                return Explored(len(seen), whole=False)
+                return ExplorationResult(len(seen), complete=False)
             seen.add(key)
-            queue.append((following, (*story, move)))
-    return Explored(len(seen), whole=True)
+            queue.append((next_world, (*path, move)))
+    return ExplorationResult(len(seen), complete=True)
 
 
 def main() -> int:
@@ -64,14 +66,14 @@
         losses=int(options['--losses']),
         deaths=int(options['--deaths']),
     )
-    found = explore(world, most_states=int(options['--states']))
-    if found.broken:
-        print(f'explore: broken after {found.states} states: {found.broken}')
-        for move in found.story:
-            print(f'  {move.act} {move.agent} {move.attempt} {move.flying}')
+    result = explore(world, most_states=int(options['--states']))
+    if result.broken:
+        print(f'explore: broken after {result.states} states: {result.broken}')
+        for move in result.path:
+            print(f'  {move.act} {move.agent} {move.attempt} {move.message}')
         return 1
-    extent = 'all' if found.whole else 'not all'
-    print(f'explore: ok states={found.states} ({extent} seen)')
+    extent = 'all' if result.complete else 'not all'
+    print(f'explore: ok states={result.states} ({extent} seen)')
     return 0
 
 
--- a/scripts/load.py
+++ b/scripts/load.py
@@ -37,14 +37,14 @@
 from _load_text import summary_lines
 from _process import FleetError, end_on_signal
 from docopt import docopt
-from experiment import seeded
+from experiment import with_seed
 
 from crowrudder_daemon.settings import SettingsError
 
 
 async def send(experiment: Experiment, caller: LoopbackCaller) -> Summary:
-    """Send the load, and sum up."""
-    # Ids of an earlier run of the same file were used up by it.
+    """Send the load and return its summary."""
+    # The entries already know the ids of an earlier run of the same file.
     tag = f'{experiment.name}-{time.time_ns():x}'
     planned = arrivals(experiment.load, tag=tag)
     load = LoadRun(caller, experiment.load.bounds)
@@ -52,8 +52,8 @@
     return summarize(experiment.load, results, caller.answers)
 
 
-async def to_entry(experiment: Experiment, address: str) -> Summary:
-    """Send to a fleet that runs."""
+async def run_on_entry(experiment: Experiment, address: str) -> Summary:
+    """Send the load to a running fleet."""
     seed = experiment.load.bounds.seed
     caller = LoopbackCaller(f'http://{address}', seed=seed)
     try:
@@ -62,8 +62,8 @@
         caller.close()
 
 
-async def to_own_fleet(experiment: Experiment) -> Summary:
-    """Start the file's fleet and send to it."""
+async def run_on_new_fleet(experiment: Experiment) -> Summary:
+    """Start the file's fleet and send the load to it."""
     end_on_signal(signal.SIGTERM)
     with tempfile.TemporaryDirectory(prefix='crowrudder-') as directory:
         run = ExperimentRun(experiment, Path(directory))
@@ -74,7 +74,7 @@
 
 
 def main() -> int:
-    """Check the input, run and print."""
+    """Check the input, run the load and print the summary."""
     options = docopt(__doc__ or '')
     address = options['--entry'] or ''
     try:
@@ -84,8 +84,12 @@
     except (SettingsError, NotLoopbackError) as exc:
         print(exc, file=sys.stderr)
         return 2
-    experiment = seeded(experiment, options['--seed'])
-    run = to_entry(experiment, address) if address else to_own_fleet(experiment)
+    experiment = with_seed(experiment, options['--seed'])
+    run = (
+        run_on_entry(experiment, address)
+        if address
+        else run_on_new_fleet(experiment)
+    )
     try:
         summary = asyncio.run(run)
     except (FleetError, NotLoopbackError) as exc:
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -31,27 +31,27 @@
 from docopt import docopt
 
 CALLERS = 8
-PAUSE_S = (0.0, 0.05)
-PUBLISH_S = (4.0, 10.0)
-SETTLE_S = 40
+REQUEST_INTERVAL_S = (0.0, 0.05)
+PUBLISH_INTERVAL_S = (4.0, 10.0)
+SETTLE_TIMEOUT_S = 40
 CHUNK_BYTES = 262_144
 CHUNKS = 8
-LAST_REQUESTS = 40
+RECOVERY_REQUESTS = 40
 DEADLINE_MS = 8000
-SHARE_SERVICE = 0.2
-SHARE_IDEMPOTENT = 0.3
-SHARE_LEAVES = 0.06
-SHARE_REPEATS = 0.5
-SHARE_RELAYED = 0.75
-SHARE_RACES = 0.2
-# The longest that an answer may come after its request's deadline.
-MARGIN_S = 1.5
-# Malformed, not allowed, unknown, too large: none of it is ever sent.
-BLAMES = frozenset((400, 403, 404, 413))
+PLAIN_SERVICE_SHARE = 0.2
+IDEMPOTENT_SHARE = 0.3
+DISCONNECT_SHARE = 0.06
+RESEND_SHARE = 0.5
+RELAYED_FLEET_SHARE = 0.75
+CONCURRENT_PUBLISH_SHARE = 0.2
+# The latest that an answer may arrive after its request's deadline.
+DEADLINE_MARGIN_S = 1.5
+# Malformed, not allowed, unknown, too large: the load sends no such request.
+CALLER_ERROR_STATUSES = frozenset((400, 403, 404, 413))
 
 
 def plan_of(rng: random.Random) -> FleetPlan:
-    """Draw the size of the fleet."""
+    """Return a random size and configuration of the fleet."""
     return FleetPlan(
         entries=rng.randint(2, 3),
         engines=rng.randint(4, 6),
@@ -59,13 +59,13 @@
         origin_rate=4_000_000,
         fencing=rng.choice(('checked', 'ignored')),
         engine_options=('--token-interval=0.004', '--load-s=0.2'),
-        relayed=rng.random() < SHARE_RELAYED,
+        relayed=rng.random() < RELAYED_FLEET_SHARE,
     )
 
 
 @define
 class Soak:
-    """One run: its fleet, load, faults and publications."""
+    """A run with its fleet, load, faults and publications."""
 
     fleet: Fleet
     rng: random.Random
@@ -73,19 +73,21 @@
     duration_s: float
     callers: list[Caller] = field(factory=list)
     published: int = 0
-    _publishing: asyncio.Lock = field(factory=asyncio.Lock)
+    _publish_lock: asyncio.Lock = field(factory=asyncio.Lock)
     _orders: dict[str, int] = field(factory=dict)
     _version: str = ''
     _started_at: float = field(factory=time.monotonic)
-    _numbers: int = 0
+    _request_count: int = 0
 
     async def run(self) -> bool:
-        """Run it all and tell whether the books are clean."""
+        """Run the whole soak and return whether no problem was found."""
         await self.fleet.start()
         self.declared.set_replicas(len(self.fleet.engine_agents))
         await self._publish()
-        await self._settled()
-        chaos = Chaos(self.fleet, self._child_rng(), self.say, self._publishing)
+        await self._await_settled()
+        chaos = Chaos(
+            self.fleet, self._child_rng(), self.log, self._publish_lock
+        )
         self._start_callers()
         ends_at = time.monotonic() + self.duration_s
         await asyncio.gather(
@@ -103,17 +105,17 @@
         problems.extend(await self._drain())
         return self._report(chaos, problems)
 
-    def say(self, line: str) -> None:
+    def log(self, line: str) -> None:
         """Print a line with the time since the start."""
         print(f'{time.monotonic() - self._started_at:7.2f} {line}', flush=True)
 
-    async def _settled(self) -> None:
+    async def _await_settled(self) -> None:
         async def agreed() -> bool:
             return not await differing(self.fleet, self.declared)
 
         step = f'load {self._version} everywhere'
         try:
-            await until(agreed, step=step, timeout_s=SETTLE_S)
+            await until(agreed, step=step, timeout_s=SETTLE_TIMEOUT_S)
         except FleetError as exc:
             found = await differing(self.fleet, self.declared)
             raise FleetError('settle', step, f'{exc}; {found}') from exc
@@ -132,21 +134,27 @@
         )
 
     async def _publish(self) -> None:
-        """Publish a version, or two at once with one generation."""
-        races = self.published and self.rng.random() < SHARE_RACES
-        async with self._publishing:
-            rivals = [self._weights() for _ in range(2 if races else 1)]
-            published = await self.declared.publish_rivals(self.fleet, rivals)
+        """Publish a version, or two concurrently with the same generation."""
+        is_concurrent = (
+            self.published and self.rng.random() < CONCURRENT_PUBLISH_SHARE
+        )
+        async with self._publish_lock:
+            concurrent_versions = [
+                self._weights() for _ in range(2 if is_concurrent else 1)
+            ]
+            published = await self.declared.publish_concurrently(
+                self.fleet, concurrent_versions
+            )
         self._version = self.declared.version
         generation = self.declared.generation
         self._orders.update(dict.fromkeys(published, generation))
-        for weights in rivals:
-            self.say(f'published {weights.version}, generation {generation}')
+        for weights in concurrent_versions:
+            self.log(f'published {weights.version}, generation {generation}')
 
     async def _publish_until(self, ends_at: float) -> None:
         rng = self._child_rng()
         while time.monotonic() < ends_at:
-            await asyncio.sleep(rng.uniform(*PUBLISH_S))
+            await asyncio.sleep(rng.uniform(*PUBLISH_INTERVAL_S))
             await self._publish()
 
     def _start_callers(self) -> None:
@@ -160,31 +168,31 @@
         self, caller: Caller, rng: random.Random, ends_at: float
     ) -> None:
         while time.monotonic() < ends_at:
-            await self._one(caller, rng)
-            await asyncio.sleep(rng.uniform(*PAUSE_S))
+            await self._send_one(caller, rng)
+            await asyncio.sleep(rng.uniform(*REQUEST_INTERVAL_S))
 
-    async def _one(self, caller: Caller, rng: random.Random) -> None:
-        """Send one request; some callers leave, and some ask again."""
+    async def _send_one(self, caller: Caller, rng: random.Random) -> None:
+        """Send one request; some callers disconnect, and some resend."""
         request = self._request(rng)
-        leaves = rng.random() < SHARE_LEAVES
-        leave_after_s = rng.uniform(0.01, 0.2) if leaves else 0
+        disconnects = rng.random() < DISCONNECT_SHARE
+        leave_after_s = rng.uniform(0.01, 0.2) if disconnects else 0
         answer = await caller.send(request, leave_after_s=leave_after_s)
-        unsure = answer.outcome in {'no_answer', 'unknown', 'not_run'}
-        if unsure and rng.random() < SHARE_REPEATS:
+        may_resend = answer.outcome in {'no_answer', 'unknown', 'not_run'}
+        if may_resend and rng.random() < RESEND_SHARE:
             await asyncio.sleep(rng.uniform(0, 0.5))
             await rng.choice(self.callers).send(request)
 
     def _request(self, rng: random.Random) -> Request:
-        self._numbers += 1
-        kind = 'enquiry' if rng.random() < SHARE_SERVICE else 'draft'
-        idempotent = rng.random() < SHARE_IDEMPOTENT
+        self._request_count += 1
+        kind = 'enquiry' if rng.random() < PLAIN_SERVICE_SHARE else 'draft'
+        idempotent = rng.random() < IDEMPOTENT_SHARE
         enquiry = kind == 'enquiry'
         return Request(
-            request_id=f'{kind}-{self._numbers}',
+            request_id=f'{kind}-{self._request_count}',
             customer=rng.choice(('breeder-portal', 'riding-school')),
             model='' if enquiry else 'listing',
             service='portal' if enquiry else '',
-            prompt=f'{kind} {rng.randrange(50)} of {self._numbers}',
+            prompt=f'{kind} {rng.randrange(50)} of {self._request_count}',
             max_tokens=rng.randint(1, 60),
             streamed=rng.random() < 0.5,
             idempotent=idempotent,
@@ -193,16 +201,16 @@
         )
 
     async def _recover(self) -> list[str]:
-        """Check that the fleet heals once nothing is at fault any more."""
-        self.say('no faults any more: the fleet has to settle')
+        """Return what is still wrong after the last fault has ended."""
+        self.log('no faults any more: the fleet has to settle')
         try:
-            await self._settled()
+            await self._await_settled()
         except FleetError as exc:
             return [str(exc)]
         caller = self.callers[0]
         answers = [
             await caller.call(self._request(self.rng))
-            for _ in range(LAST_REQUESTS)
+            for _ in range(RECOVERY_REQUESTS)
         ]
         return [
             f'after the faults: {one.request.request_id}: {one.status} '
@@ -224,18 +232,18 @@
         books = Books.read(self.fleet.journals())
         verdict = compare(books, answers, excused=chaos.excused)
         problems.extend(verdict.misses)
-        problems.extend(_wrong_refusals(answers))
-        problems.extend(_late(answers, chaos))
+        problems.extend(_find_caller_errors(answers))
+        problems.extend(_find_late_answers(answers, chaos))
         for problem in problems:
-            self.say(problem)
-        outcomes = Counter(_told(each) for each in answers)
-        self.say(f'faults: {dict(chaos.played)}')
-        self.say(f'answers: {dict(outcomes.most_common())}')
-        print(_last_line(verdict, ok=not problems), flush=True)
+            self.log(problem)
+        outcomes = Counter(_describe_answer(each) for each in answers)
+        self.log(f'faults: {dict(chaos.injected)}')
+        self.log(f'answers: {dict(outcomes.most_common())}')
+        print(_summary_line(verdict, ok=not problems), flush=True)
         return not problems
 
 
-def _told(answer: Answer) -> str:
+def _describe_answer(answer: Answer) -> str:
     if answer.left:
         return 'left'
     if answer.broken:
@@ -243,28 +251,28 @@
     return f'{answer.status} {answer.outcome}'
 
 
-def _wrong_refusals(answers: list[Answer]) -> list[str]:
-    """Name refusals that blame a caller who did nothing wrong."""
+def _find_caller_errors(answers: list[Answer]) -> list[str]:
+    """Return the refusals that report a caller error for a valid request."""
     return [
         f'blames the caller: {each.request.request_id}: {each.detail}'
         for each in answers
-        if each.status in BLAMES
+        if each.status in CALLER_ERROR_STATUSES
     ]
 
 
-def _late(answers: list[Answer], chaos: Chaos) -> list[str]:
-    """Name answers after the deadline whose entry ran all the time."""
+def _find_late_answers(answers: list[Answer], chaos: Chaos) -> list[str]:
+    """Return the answers after the deadline whose entry ran all the time."""
     return [
-        f'late: {each.request.request_id}: {took_s:.1f} s, {_told(each)} '
-        f'{each.detail}'
+        f'late: {each.request.request_id}: {took_s:.1f} s, '
+        f'{_describe_answer(each)} {each.detail}'
         for each in answers
         if (took_s := each.ended_at - each.began_at)
-        > each.request.deadline_ms / 1000 + MARGIN_S
+        > each.request.deadline_ms / 1000 + DEADLINE_MARGIN_S
         and not chaos.delayed(each)
     ]
 
 
-def _last_line(verdict: Verdict, *, ok: bool) -> str:
+def _summary_line(verdict: Verdict, *, ok: bool) -> str:
     return (
         f'soak: {"ok" if ok else "failed"} requests={verdict.requests} '
         f'whole={verdict.whole} doubled={verdict.doubled} '
@@ -285,7 +293,7 @@
         fleet = Fleet(plan_of(rng), directory)
         declared = Declared.from_example(directory / 'declared')
         soak = Soak(fleet, rng, declared, float(options['--duration']))
-        soak.say(f'seed {seed}: {fleet.plan}')
+        soak.log(f'seed {seed}: {fleet.plan}')
         try:
             ok = await soak.run()
         finally:
--- a/tests/exploration/test_explore.py
+++ b/tests/exploration/test_explore.py
@@ -25,7 +25,7 @@
 class TestEveryOrder:
     def test_without_faults(self):
         found = explored()
-        assert found.whole, found
+        assert found.complete, found
 
     def test_with_a_doubled_message(self):
         found = explored(doubles=1)
--- a/tests/fuzz/test_edges.py
+++ b/tests/fuzz/test_edges.py
@@ -4,7 +4,7 @@
 
 import pytest
 from _caller import EntryAddress
-from _hostile import HostileAnswer, HostileCall, hostile_calls, play
+from _hostile import HostileAnswer, HostileCall, hostile_calls, send_call
 from attrs import evolve
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
@@ -58,11 +58,11 @@
         server.add_sockets(sockets)
         address = EntryAddress('e', *sockets[0].getsockname())
         answers = await asyncio.gather(
-            *(play(address, call) for call in hostile_calls())
+            *(send_call(address, call) for call in hostile_calls())
         )
         server.stop()
         await server.close_all_connections()
-    return [answer.miss() for answer in answers if answer.miss()]
+    return [answer.violation() for answer in answers if answer.violation()]
 
 
 class TestHostileCalls:
@@ -93,5 +93,5 @@
         ],
     )
     def test_finds_what_is_missing(self, answer):
-        assert REFUSED.miss() == ''
-        assert answer.miss().startswith('n: ')
+        assert REFUSED.violation() == ''
+        assert answer.violation().startswith('n: ')
--- a/tests/scripts/test_experiment.py
+++ b/tests/scripts/test_experiment.py
@@ -6,9 +6,9 @@
 import pytest
 from _books import Books, compare
 from _caller import Answer, Request
-from _experiment_faults import Absences, hosts_of
+from _experiment_faults import Downtimes, find_hosts
 from _experiment_plan import Promise, read_experiment
-from _experiment_verdict import StepReport, judge
+from _experiment_verdict import StepReport, evaluate
 from _load_arrivals import Arrival
 from _load_run import CallResult
 from _load_summary import summarize
@@ -18,20 +18,20 @@
 EXPERIMENTS = Path(__file__).parents[2] / 'examples' / 'experiments'
 STEADY = read_experiment(EXPERIMENTS / 'steady.ini')
 REQUEST = Request(request_id='r1', customer='breeder-portal', service='portal')
-WHOLE = Answer(request=REQUEST, status=200, outcome='answered')
+COMPLETE = Answer(request=REQUEST, status=200, outcome='answered')
 STEP = StepReport(name='s', kind='publish', at_s=1, took_s=1, error='')
 
 
 def report_on(*promises, result=None, starts=1, steps=()):
     arrival = Arrival(at_s=0, phase='low', request=REQUEST)
     result = result or CallResult(
-        arrival=arrival, answer=WHOLE, sendings=1, latency_s=0.5
+        arrival=arrival, answer=COMPLETE, sendings=1, latency_s=0.5
     )
     answers = [result.answer] if result.answer else []
     experiment = evolve(STEADY, promises=promises)
     books = Books(Counter(r1=starts), frozenset())
     summary = summarize(experiment.load, [result], answers)
-    return judge(experiment, summary, compare(books, answers), steps)
+    return evaluate(experiment, summary, compare(books, answers), steps)
 
 
 class TestVerdict:
@@ -44,7 +44,7 @@
             ('overdue', {'most': 0}, True),
             ('sendings_per_request', {'most': 0.9}, False),
             ('latency_p95_s', {'phase': 'high'}, True),
-            # Nothing was measured here, so nothing is kept.
+            # No sample was measured, so the promise is not kept.
             ('latency_p95_s', {'phase': 'high', 'most': 9}, False),
             ('good_share', {'customer': 'riding-school'}, False),
         ],
@@ -54,20 +54,20 @@
         report = report_on(promise)
         assert [each.kept for each in report.promises] == [kept]
         assert report.passed is kept
-        told = 'ok' if kept else 'failed'
-        assert f'experiment steady: {told} seed=1' in report.lines()[-1]
+        status_text = 'ok' if kept else 'failed'
+        assert f'experiment steady: {status_text} seed=1' in report.lines()[-1]
 
-    def test_books_count_without_any_promise(self):
+    def test_invariants_are_checked_without_promises(self):
         assert report_on().passed
         assert not report_on(starts=2).passed
         assert not report_on(starts=0).passed
 
-    def test_request_without_end(self):
+    def test_request_without_final_outcome(self):
         arrival = Arrival(at_s=0, phase='low', request=REQUEST)
         report = report_on(result=CallResult(arrival=arrival, sendings=1))
         assert 'never got a final word' in report.broken[0]
 
-    def test_fault_that_did_not_come_off(self):
+    def test_failed_step(self):
         late = evolve(STEP, error='load v2: fleet: not within 5 s')
         assert report_on(steps=(STEP,)).passed
         assert not report_on(steps=(late,)).passed
@@ -81,13 +81,13 @@
 
 class TestHosts:
     def test_by_name_and_by_failure_domain(self):
-        assert hosts_of([ENTRY], 'entry-1') == [ENTRY]
-        assert hosts_of([ENTRY], 'domain:caen-0') == [ENTRY]
+        assert find_hosts([ENTRY], 'entry-1') == [ENTRY]
+        assert find_hosts([ENTRY], 'domain:caen-0') == [ENTRY]
         with pytest.raises(FleetError, match='use one of caen-0'):
-            hosts_of([ENTRY], 'domain:entry-1')
+            find_hosts([ENTRY], 'domain:entry-1')
 
     def test_broken_connection_is_excused_by_a_kill_only(self):
-        absences = Absences()
+        downtimes = Downtimes()
         broken = Answer(
             request=REQUEST,
             broken=True,
@@ -95,11 +95,13 @@
             began_at=4,
             ended_at=5.5,
         )
-        assert not absences.excuse(broken, [ENTRY])
-        absences.gone('entry-1', 5)
-        assert absences.excuse(broken, [ENTRY])
-        assert not absences.excuse(evolve(broken, url='http://x:19'), [ENTRY])
-        absences.back('entry-1', 7)
-        assert absences.excuse(broken, [ENTRY])
+        assert not downtimes.is_excused(broken, [ENTRY])
+        downtimes.record_down('entry-1', 5)
+        assert downtimes.is_excused(broken, [ENTRY])
+        assert not downtimes.is_excused(
+            evolve(broken, url='http://x:19'), [ENTRY]
+        )
+        downtimes.record_up('entry-1', 7)
+        assert downtimes.is_excused(broken, [ENTRY])
         after = evolve(broken, began_at=8, ended_at=9)
-        assert not absences.excuse(after, [ENTRY])
+        assert not downtimes.is_excused(after, [ENTRY])
--- a/tests/scripts/test_load.py
+++ b/tests/scripts/test_load.py
@@ -13,7 +13,7 @@
     CallResult,
     LoadRun,
     NotLoopbackError,
-    pause_before_resend,
+    find_resend_delay_s,
     require_loopback,
 )
 from _load_summary import Quantiles, code_of, summarize
@@ -28,7 +28,7 @@
 REQUEST = Request(
     request_id='r1', customer='c', model='m', prompt='p', deadline_ms=1000
 )
-WHOLE = Answer(request=REQUEST, status=200, outcome='answered')
+COMPLETE = Answer(request=REQUEST, status=200, outcome='answered')
 BUSY = Answer(
     request=REQUEST, status=503, outcome='not_run', retry_after_s=0.06
 )
@@ -42,7 +42,7 @@
 
 
 class TestFile:
-    def test_ready_experiments_have_no_fault(self):
+    def test_example_experiments_are_valid(self):
         names = [each.stem for each in sorted(EXPERIMENTS.glob('*.ini'))]
         read = [
             read_experiment(EXPERIMENTS / f'{name}.ini').name for name in names
@@ -83,7 +83,7 @@
         assert str(path) in str(caught.value)
 
     @pytest.mark.parametrize('text', ['', 'x = 1', '[a]\n[a]', '[load', '\0'])
-    def test_garbage(self, tmp_path, text):
+    def test_unreadable_file(self, tmp_path, text):
         path = tmp_path / 'bad.ini'
         path.write_text(text)
         with pytest.raises(SettingsError):
@@ -121,7 +121,7 @@
         phase = evolve(PHASE, arrivals='constant')
         assert len(list(arrival_times(phase, random.Random(1)))) == 100
 
-    def test_popular_prefixes_come_more_often(self):
+    def test_popular_prefixes_are_more_frequent(self):
         steep = evolve(PLAN.traffic[0], zipf=1.5)
         plan = evolve(PLAN, traffic=(steep,))
         prompts = [each.request.prompt for each in arrivals(plan, tag='a')]
@@ -137,7 +137,7 @@
     @pytest.mark.parametrize(
         ('answer', 'pause_s'),
         [
-            (WHOLE, None),
+            (COMPLETE, None),
             (BUSY, 0.06),
             (evolve(BUSY, status=429, retry_after_s=7), 7),
             (evolve(BUSY, status=409), None),
@@ -147,22 +147,22 @@
             (evolve(BROKEN, request=evolve(REQUEST, idempotent=True)), 0.05),
         ],
     )
-    def test_what_may_be_sent_again(self, answer, pause_s):
-        told = pause_before_resend(answer, resend_lost='idempotent')
-        assert told == pause_s
+    def test_resend_delay(self, answer, pause_s):
+        delay_s = find_resend_delay_s(answer, resend_lost='idempotent')
+        assert delay_s == pause_s
 
-    def test_lost_ones_stay_lost_if_told_so(self):
+    def test_lost_requests_are_not_resent_if_configured(self):
         lost = evolve(BROKEN, request=evolve(REQUEST, idempotent=True))
-        assert pause_before_resend(lost, resend_lost='none') is None
+        assert find_resend_delay_s(lost, resend_lost='none') is None
 
     @pytest.mark.parametrize('address', ['10.0.0.1', 'localhost', '', '::'])
-    def test_other_machines_are_refused(self, address):
+    def test_other_addresses_are_refused(self, address):
         with pytest.raises(NotLoopbackError):
             require_loopback(address)
 
 
 class FakeCaller:
-    """Answers by a script; the last answer goes on for ever."""
+    """Returns scripted answers; the last one is repeated."""
 
     def __init__(self, *script, takes_s=0.0):
         self.script = list(script)
@@ -197,7 +197,7 @@
 
 class TestRun:
     def test_retry_after_is_honoured_and_the_deadline_shrinks(self):
-        caller = FakeCaller(BUSY, BUSY, WHOLE)
+        caller = FakeCaller(BUSY, BUSY, COMPLETE)
         (result,) = run_load(caller)
         assert (result.outcome, result.sendings) == ('answered', 3)
         assert result.latency_s >= 2 * BUSY.retry_after_s
@@ -211,11 +211,11 @@
         assert (result.outcome, result.sendings) == ('not_run', 1)
 
     def test_arrivals_do_not_wait_for_answers(self):
-        results = run_load(FakeCaller(WHOLE, takes_s=0.1), count=20)
+        results = run_load(FakeCaller(COMPLETE, takes_s=0.1), count=20)
         assert max(each.latency_s for each in results) < 1
 
-    def test_above_the_bound_nothing_is_sent(self):
-        caller = FakeCaller(WHOLE, takes_s=0.05)
+    def test_requests_above_the_limit_are_not_sent(self):
+        caller = FakeCaller(COMPLETE, takes_s=0.05)
         results = run_load(caller, count=5, concurrent_at_most=2)
         assert sorted(each.outcome for each in results) == [
             *['answered'] * 2,
@@ -223,15 +223,15 @@
         ]
         assert len(caller.sent) == 2
 
-    def test_no_request_gets_lost_by_a_fault_of_the_tool(self):
-        """A call that failed early was missing in all counts, unsaid."""
+    def test_failure_of_the_load_tool_is_raised(self):
+        """Guards against a failed call that is missing from all counts."""
         early = Arrival(at_s=0, phase='p', request=REQUEST)
         late = evolve(early, at_s=0.05)
         with pytest.raises(RuntimeError, match='first'):
-            run_load(FirstCallFails(WHOLE), planned=[early, late])
+            run_load(FirstCallFails(COMPLETE), planned=[early, late])
 
-    def test_ends_by_itself(self):
-        (result,) = run_load(FakeCaller(WHOLE, takes_s=60), wait_s=0.05)
+    def test_unfinished_requests_are_cancelled(self):
+        (result,) = run_load(FakeCaller(COMPLETE, takes_s=60), wait_s=0.05)
         assert (result.never_ended, result.overdue) == (True, True)
         assert (result.outcome, result.good) == ('no_answer', False)
 
@@ -255,17 +255,19 @@
 
     def test_groups_and_flaws(self):
         arrival = Arrival(at_s=0, phase='p', request=REQUEST)
-        cut = evolve(WHOLE, flaw=Flaw.CUT)
-        given_back = [
+        cut = evolve(COMPLETE, flaw=Flaw.CUT)
+        results = [
             CallResult(
-                arrival=arrival, answer=WHOLE, sendings=1, latency_s=0.5
+                arrival=arrival, answer=COMPLETE, sendings=1, latency_s=0.5
+            ),
+            CallResult(
+                arrival=arrival, answer=COMPLETE, sendings=2, latency_s=3
             ),
-            CallResult(arrival=arrival, answer=WHOLE, sendings=2, latency_s=3),
             CallResult(arrival=arrival, answer=cut, sendings=1, latency_s=0.1),
             CallResult(arrival=arrival),
         ]
-        answers = [WHOLE, WHOLE, cut, evolve(BROKEN, flaw=Flaw.CUT)]
-        summary = summarize(PLAN, given_back, answers)
+        answers = [COMPLETE, COMPLETE, cut, evolve(BROKEN, flaw=Flaw.CUT)]
+        summary = summarize(PLAN, results, answers)
         group = summary.group('p', 'c')
         assert group is not None
         assert (group.requests, group.good, group.overdue) == (4, 1, 1)
--- a/tests/support/stage.py
+++ b/tests/support/stage.py
@@ -6,7 +6,7 @@
 
 from _books import Books, compare
 from _caller import Caller, Request
-from _chaos import Ending, excused
+from _chaos import Downtime, excused
 from _declare import Declared, Weights
 from _end_state import differing
 from _fleet import Fleet, until
@@ -66,7 +66,7 @@
         self.declared = declared
         self.callers: list[Caller] = []
         self.sent: list[asyncio.Task] = []
-        self.endings: list[Ending] = []
+        self.endings: list[Downtime] = []
         self._story = 0
 
     async def set_up(self) -> None:
@@ -123,7 +123,7 @@
 
     def kill(self, process) -> None:
         process.kill()
-        self.endings.append(Ending(process.name, 0, float('inf')))
+        self.endings.append(Downtime(process.name, 0, float('inf')))
 
     async def end(self):
         """Let the engines go on and compare the books."""
