--- a/measure/_config_churn.py
+++ b/measure/_config_churn.py
@@ -24,7 +24,7 @@
 """130 changes in 20 s: 1,300 a day come 440 times slower."""
 
 GENERATIONS = range(2, 2 + CHANGES)
-QUIET_S = 8.0
+IDLE_INVENTORY_INTERVAL_S = 8.0
 CALLERS = 4
 PAUSE_S = 0.01
 FROZEN_S = 8.0
@@ -72,7 +72,7 @@
         await fleet.publish(value_of(generation))
         await asyncio.sleep(GAP_S)
     if not generations:
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(IDLE_INVENTORY_INTERVAL_S)
     took_s = time.monotonic() - begun
     stopped.set()
     await asyncio.gather(*calls)
--- a/measure/_config_size.py
+++ b/measure/_config_size.py
@@ -10,11 +10,11 @@
 import msgspec
 from _config_fleet import value_of
 
-from crowrudder_core.config import ConfigBook, Offer, PlatformReading
+from crowrudder_core.config import ActiveConfig, Offer, PlatformReadPolicy
 from crowrudder_core.membership import (
     MemberList,
     MembershipView,
-    OwnWord,
+    OwnStatus,
     neighbours_of,
 )
 from crowrudder_model import (
@@ -72,10 +72,10 @@
     show(f'{name}.memory_mb', _memory_mb(lambda: _accept(value)))
 
 
-def _accept(value: bytes) -> ConfigBook:
-    book = ConfigBook(is_open=True)
-    book.offer(Offer(payload=value, revision=1, teller=''), now=0)
-    return book
+def _accept(value: bytes) -> ActiveConfig:
+    active_config = ActiveConfig(is_open=True)
+    active_config.offer(Offer(payload=value, revision=1, teller=''), now=0)
+    return active_config
 
 
 def _members(show: Show, count: int) -> None:
@@ -105,7 +105,7 @@
     view.on_list()
     seen = view.members()
     suspects = view.suspects()
-    reading = PlatformReading('host-0001', 'domain-1', started_at=0)
+    reading = PlatformReadPolicy('host-0001', 'domain-1', started_at=0)
     reading.on_members(seen, suspects)
     neighbours_of('host-0001', (each.host for each in seen))
 
@@ -122,7 +122,7 @@
 
 
 def _empty_view() -> MembershipView:
-    return MembershipView(OwnWord('host-0001', 'x', '127.0.0.1:1', 1))
+    return MembershipView(OwnStatus('host-0001', 'x', '127.0.0.1:1', 1))
 
 
 def _fleet(count: int) -> tuple[Member, ...]:
--- a/measure/_dispatch_engine.py
+++ b/measure/_dispatch_engine.py
@@ -80,7 +80,7 @@
         writers = sum(job.has_begun for job in self.running)
         unread = [job for job in self.running if not job.has_begun]
         took_s = model.pass_s(writers)
-        took_s += sum(model.read_s(job.prompt) for job in unread)
+        took_s += sum(model.prefill_s(job.prompt) for job in unread)
         self.clock.after(self.pace * took_s, self._end_pass)
 
     def _end_pass(self) -> None:
--- a/measure/_dispatch_policies.py
+++ b/measure/_dispatch_policies.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING, Protocol
 
 from crowrudder_core.forecast import choose
-from crowrudder_core.forecast._choice import DRAWN
+from crowrudder_core.forecast._choice import SAMPLE_SIZE
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from crowrudder_core.forecast import Candidate, Outlook
+    from crowrudder_core.forecast import Candidate, UpstreamForecast
 
 
 class Policy(Protocol):
@@ -25,7 +25,7 @@
         prompt: int,
         now: float,
         random: Random,
-    ) -> Outlook:
+    ) -> UpstreamForecast:
         """Choose one."""
 
 
@@ -35,14 +35,14 @@
     prompt: int,
     now: float,
     random: Random,
-    drawn: int = DRAWN,
-) -> Outlook:
+    drawn: int = SAMPLE_SIZE,
+) -> UpstreamForecast:
     """Choose as an entry does, or as one that draws another number."""
     choice = choose(
         candidates, prompt=prompt, now=now, random=random, sample_size=drawn
     )
     assert choice is not None
-    return choice.outlook
+    return choice.forecast
 
 
 def at_random(
@@ -51,9 +51,9 @@
     prompt: int,
     now: float,
     random: Random,
-) -> Outlook:
+) -> UpstreamForecast:
     """Draw any."""
-    return random.choice(candidates).outlook
+    return random.choice(candidates).forecast
 
 
 def by_own_requests(
@@ -62,12 +62,12 @@
     prompt: int,
     now: float,
     random: Random,
-) -> Outlook:
+) -> UpstreamForecast:
     """Take the one to which this entry has sent least that hasn't ended."""
     return min(
         candidates,
-        key=lambda each: (each.outlook.own, random.random()),
-    ).outlook
+        key=lambda each: (each.forecast.own, random.random()),
+    ).forecast
 
 
 def by_requests(
@@ -76,12 +76,12 @@
     prompt: int,
     now: float,
     random: Random,
-) -> Outlook:
+) -> UpstreamForecast:
     """Take the one with the fewest requests, by the agents' words."""
     return min(
         candidates,
-        key=lambda each: (each.outlook.total(now), random.random()),
-    ).outlook
+        key=lambda each: (each.forecast.total(now), random.random()),
+    ).forecast
 
 
 POLICIES: dict[str, Policy] = {
--- a/measure/_route_fleet.py
+++ b/measure/_route_fleet.py
@@ -17,8 +17,8 @@
 from crowrudder_daemon.agent._run_messages import ResumeRuns
 from crowrudder_daemon.agent._run_service import RunService
 from crowrudder_daemon.agent._runs import RunsTask
-from crowrudder_daemon.entry._links import AgentLost, ReportCame
-from crowrudder_daemon.entry._requests import RequestsTask, SnapshotCame
+from crowrudder_daemon.entry._links import AgentLost, ReportReceived
+from crowrudder_daemon.entry._requests import RequestsTask, SnapshotReceived
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_daemon.process import Runtime
 from crowrudder_daemon.settings import (
@@ -35,7 +35,7 @@
     Service,
     bundle_of,
 )
-from crowrudder_model.messages import Attempt, Final, Piece, RunUp
+from crowrudder_model.messages import Attempt, Final, Piece, RunClientMessage
 from crowrudder_model.rpc import CANCEL, ROOM, RUN, SETTLE, Method
 
 SERVICE = 'listing'
@@ -175,7 +175,7 @@
         self._agent.streams.add(self)
         self._pump = asyncio.ensure_future(self._serve(ask))
 
-    async def send(self, message: RunUp) -> None:
+    async def send(self, message: RunClientMessage) -> None:
         """Send one message up."""
         if not self._agent.alive:
             raise self._lost()
@@ -284,7 +284,7 @@
         self.calls += 1
         handlers: dict[Any, Any] = {
             CANCEL: agent.service._on_cancel,
-            ROOM: agent.service._on_room,
+            ROOM: agent.service._on_capacity,
         }
         reply = await handlers[method](ask, None)
         await asyncio.sleep(LATENCY_S)
@@ -319,7 +319,7 @@
             rng = random.Random(shape.seed * 100 + number)
             router = make_router(self, rng) if make_router else Router(rng)
             entry.agents.router = router
-            entry.post(SnapshotCame(Snapshot(bundle)))
+            entry.post(SnapshotReceived(Snapshot(bundle)))
 
     async def start(self) -> None:
         """Start all tasks and the reports."""
@@ -331,7 +331,7 @@
         await asyncio.sleep(0)
         for agent in self.agents:
             for entry in self.entries:
-                entry.post(ReportCame(_report(agent, entry), agent.address))
+                entry.post(ReportReceived(_report(agent, entry), agent.address))
                 entry.spawn(self._report_for_ever(agent, entry))
         await asyncio.sleep(0)
 
@@ -348,7 +348,7 @@
         loop = asyncio.get_running_loop()
         await asyncio.sleep(self.rng.uniform(0, self.shape.report_every_s))
         while agent.alive:
-            message = ReportCame(_report(agent, entry), agent.address)
+            message = ReportReceived(_report(agent, entry), agent.address)
             loop.call_later(self.shape.report_lag_s, entry.post, message)
             await asyncio.sleep(self.shape.report_every_s)
 
@@ -362,7 +362,7 @@
     engine = SimpleEngine(shape)
     runs = RunsTask(runtime, engine)  # type: ignore[arg-type]
     knowledge: Any = types.SimpleNamespace(
-        book=types.SimpleNamespace(order=(1, '')),
+        active_config=types.SimpleNamespace(order=(1, '')),
     )
     service = RunService(runtime, runs, knowledge)
     return MemoryAgent(f'agent-{number}', runs, service, engine)
--- a/measure/_weights_fleet.py
+++ b/measure/_weights_fleet.py
@@ -22,10 +22,10 @@
     FromOrigin,
     FromPeer,
     Manifest,
+    PeerInventory,
     Place,
-    Stock,
     Transfer,
-    transfer_of,
+    start_transfer,
 )
 
 if TYPE_CHECKING:
@@ -148,9 +148,9 @@
 
     upload_slots: int = UPLOAD_SLOTS
 
-    def stock(self) -> Stock:
+    def stock(self) -> PeerInventory:
         """Tell what it says of itself."""
-        return Stock(
+        return PeerInventory(
             host=self.name,
             chunks=self.transfer.held,
             passes=self.transfer.origin.passes,
@@ -242,7 +242,7 @@
         seed = self.random.randrange(1 << 30)
         store = ChunkStore(self.manifest.size)
         store.want([self.manifest])
-        transfer = transfer_of(
+        transfer = start_transfer(
             self.manifest,
             host=name,
             place=place,
@@ -297,7 +297,7 @@
         for read in transfer.overdue(now=now):
             self.events['stalled'] += 1
             transfer.on_failed(read, now=now)
-        for name in transfer.peers_to_ask(now=now):
+        for name in transfer.peers_to_query(now=now):
             self.events['asked'] += 1
             self._ask(host, self.hosts[name])
         for read in transfer.next_reads(now=now):
@@ -323,10 +323,10 @@
         self._after(2 * way, partial(self._heard, host, stock))
 
     def _silent(self, host: Host, name: str) -> None:
-        host.transfer.on_silence(name, now=self.clock.now_s)
+        host.transfer.on_no_answer(name, now=self.clock.now_s)
 
-    def _heard(self, host: Host, stock: Stock) -> None:
-        host.transfer.on_stock(stock, now=self.clock.now_s)
+    def _heard(self, host: Host, stock: PeerInventory) -> None:
+        host.transfer.on_inventory(stock, now=self.clock.now_s)
         self._advance_if_alive(host)
 
     def _serve(self, source: Host, host: Host, read: FromPeer) -> None:
@@ -365,7 +365,7 @@
             )
             return
         self.origin.send(
-            lambda: host.transfer.on_moved(read, now=self.clock.now_s),
+            lambda: host.transfer.on_bytes_received(read, now=self.clock.now_s),
             lambda began: self._arrive(host, read, began, REGION_US, None),
         )
 
@@ -375,7 +375,7 @@
         read: Read,
         began: int,
         way: int,
-        stock: Stock | None,
+        stock: PeerInventory | None,
     ) -> None:
         """Take a chunk off the receiver's link, cut through from ``began``."""
         down = host.down
@@ -387,7 +387,9 @@
         arrives = max(start + chunk_us, self.clock.now + way)
         self.clock.at(arrives, partial(self._take, host, read, stock))
 
-    def _take(self, host: Host, read: Read, stock: Stock | None) -> None:
+    def _take(
+        self, host: Host, read: Read, stock: PeerInventory | None
+    ) -> None:
         if not host.alive or host.frozen:
             return
         payload = self.payloads[read.index]
@@ -396,14 +398,16 @@
             payload = payload[::-1]
         transfer = host.transfer
         if stock is not None:
-            transfer.on_stock(stock, now=self.clock.now_s)
-        transfer.on_moved(read, now=self.clock.now_s, size=len(payload))
+            transfer.on_inventory(stock, now=self.clock.now_s)
+        transfer.on_bytes_received(
+            read, now=self.clock.now_s, size=len(payload)
+        )
         was_held = transfer.held >> read.index & 1
         transfer.on_chunk(read, payload, now=self.clock.now_s)
         self.events['doubled'] += was_held
         self.events[type(read).__name__] += 1
         if transfer.complete and host.done_at is None:
-            transfer.assert_whole()
+            transfer.assert_complete()
             host.done_at = self.clock.now
         self._advance(host)
 
@@ -413,8 +417,8 @@
             return True
         return self.random.random() < self.scene.corrupted_share
 
-    def _busy(self, host: Host, read: FromPeer, stock: Stock) -> None:
-        host.transfer.on_stock(stock, now=self.clock.now_s)
+    def _busy(self, host: Host, read: FromPeer, stock: PeerInventory) -> None:
+        host.transfer.on_inventory(stock, now=self.clock.now_s)
         host.transfer.on_busy(read, now=self.clock.now_s)
         self._advance_if_alive(host)
 
--- a/measure/codec.py
+++ b/measure/codec.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from crowrudder_model import decode_message, encode_message
-from crowrudder_model.messages import Piece, RunDown
+from crowrudder_model.messages import Piece, RunServerMessage
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 def run(show: Callable[[str, float | str], None]) -> None:
     """Compare MessagePack with JSON, both by msgspec over attrs classes."""
-    message = RunDown(
+    message = RunServerMessage(
         piece=Piece(
             request_id='0123456789abcdef0123456789abcdef',
             version='listing-v1',
@@ -36,9 +36,11 @@
     packed = encode_message(message)
     spelled = msgspec.json.encode(message)
     pack_us = _best_us(lambda: encode_message(message))
-    unpack_us = _best_us(lambda: decode_message(packed, RunDown))
+    unpack_us = _best_us(lambda: decode_message(packed, RunServerMessage))
     spell_us = _best_us(lambda: msgspec.json.encode(message))
-    read_us = _best_us(lambda: msgspec.json.decode(spelled, type=RunDown))
+    read_us = _best_us(
+        lambda: msgspec.json.decode(spelled, type=RunServerMessage)
+    )
     show('codec.encode_us', pack_us)
     show('codec.decode_us', unpack_us)
     show(
--- a/measure/dispatch.py
+++ b/measure/dispatch.py
@@ -16,7 +16,12 @@
 from _dispatch_policies import EARLIER, POLICIES
 from attrs import define, field, frozen
 
-from crowrudder_core.forecast import Candidate, EngineModel, Outlook, Work
+from crowrudder_core.forecast import (
+    Candidate,
+    EngineModel,
+    InFlightRequest,
+    UpstreamForecast,
+)
 from crowrudder_model.fleet import EngineFigures, Upstream
 from crowrudder_model.messages import EngineLoad
 
@@ -37,7 +42,7 @@
 WARM_UP_S = 2.0
 GOAL_S = 0.45
 WORD_S = 0.1
-ON_THE_WAY_S = 0.002
+IN_TRANSIT_S = 0.002
 SEED = 1
 
 Show = Callable[[str, float], None]
@@ -77,17 +82,17 @@
     """One entry's knowledge of the engines."""
 
     region: int
-    outlooks: list[Outlook]
+    forecasts: list[UpstreamForecast]
     draw: random.Random
 
     def candidates(self) -> list[Candidate]:
         """Give all engines, with how far they are."""
         return [
             Candidate(
-                outlook=outlook,
+                forecast=forecast,
                 other_region=number % REGIONS != self.region,
             )
-            for number, outlook in enumerate(self.outlooks)
+            for number, forecast in enumerate(self.forecasts)
         ]
 
 
@@ -117,7 +122,7 @@
             Entry(
                 number % REGIONS,
                 [
-                    _outlook(each, self.case)
+                    _upstream_forecast(each, self.case)
                     for each in range(self.case.engines)
                 ],
                 random.Random(number),
@@ -130,8 +135,8 @@
 
     def run(self) -> None:
         """Send for some time, and wait for the first events."""
-        turn_s = EngineModel(FIGURES).turn_s(FIGURES.slots)
-        rate = self.case.load * self.case.engines / turn_s
+        slot_interval_s = EngineModel(FIGURES).slot_interval_s(FIGURES.slots)
+        rate = self.case.load * self.case.engines / slot_interval_s
         self._arrive(rate)
         self.clock.run(SECONDS + 5)
 
@@ -146,28 +151,28 @@
         prompt = round(self._random.expovariate(1 / FIGURES.usual_prompt)) + 1
         answer = round(self._random.expovariate(1 / FIGURES.usual_answer)) + 1
         now = self.clock.now
-        outlook = self.policy(
+        forecast = self.policy(
             entry.candidates(), prompt=prompt, now=now, random=entry.draw
         )
-        number = int(outlook.upstream.id)
+        number = int(forecast.upstream.id)
         ticket = self.sent
         self.sent += 1
         self.far += number % REGIONS != entry.region
-        forecast_s = outlook.first_s(prompt, now)
-        outlook.on_sent(ticket, Work(prompt, now))
+        forecast_s = forecast.first_s(prompt, now)
+        forecast.on_sent(ticket, InFlightRequest(prompt, now))
 
         def on_first() -> None:
             then = self.clock.now
-            outlook.on_begun(ticket, forecast_s=forecast_s, now=then)
+            forecast.on_begun(ticket, forecast_s=forecast_s, now=then)
             if now >= WARM_UP_S:
                 self.firsts.append(then - now)
 
         def on_end() -> None:
-            outlook.on_ended(ticket)
-            outlook.on_good(self.clock.now - now)
+            forecast.on_ended(ticket)
+            forecast.on_success(self.clock.now - now)
 
         job = Job(prompt, answer, on_first, on_end)
-        self.clock.after(ON_THE_WAY_S, partial(self.engines[number].send, job))
+        self.clock.after(IN_TRANSIT_S, partial(self.engines[number].send, job))
 
     def _tell_near(self, number: int) -> None:
         self._tell(number, is_far=False)
@@ -189,14 +194,14 @@
         )
         for entry in self.entries:
             if is_far == (entry.region != number % REGIONS):
-                outlook = entry.outlooks[number]
-                now = self.clock.now + ON_THE_WAY_S
+                forecast = entry.forecasts[number]
+                now = self.clock.now + IN_TRANSIT_S
                 self.clock.after(
-                    ON_THE_WAY_S, partial(outlook.on_load, word, now=now)
+                    IN_TRANSIT_S, partial(forecast.on_load, word, now=now)
                 )
 
 
-def _outlook(number: int, case: Case) -> Outlook:
+def _upstream_forecast(number: int, case: Case) -> UpstreamForecast:
     upstream = Upstream(
         id=str(number),
         service='llm',
@@ -204,8 +209,8 @@
         slots=FIGURES.slots,
         weights=1,
     )
-    made = Outlook(upstream, other_entries=case.entries - 1)
-    made.on_figures(FIGURES)
+    made = UpstreamForecast(upstream, other_entries=case.entries - 1)
+    made.on_engine_figures(FIGURES)
     return made
 
 
--- a/measure/records.py
+++ b/measure/records.py
@@ -16,10 +16,10 @@
 from attrs import frozen
 from grpc import aio
 
-from crowrudder_core.catalog import deflated, inflated
+from crowrudder_core.catalog import deflate_record, inflate_record
 from crowrudder_daemon.rpc import PeerClient
 from crowrudder_model import decode_message, encode_message
-from crowrudder_model.messages import Changes, ChangesAsk, PublishedItem
+from crowrudder_model.messages import Changes, ChangesRequest, PublishedItem
 from crowrudder_model.rpc import CHANGES, SERVICE_NAME
 
 if TYPE_CHECKING:
@@ -76,11 +76,11 @@
 def run(show: Show) -> None:
     """Measure the forms of a record, then the ways of sending it."""
     item = _configuration()
-    sent = deflated(item)
+    sent = deflate_record(item)
     show('records.published_bytes', len(item.payload or b''))
     show('records.deflated_bytes', len(sent.payload or b''))
-    show('records.deflate_ms', _least_ms(lambda: deflated(item)))
-    show('records.inflate_ms', _least_ms(lambda: inflated(sent)))
+    show('records.deflate_ms', _least_ms(lambda: deflate_record(item)))
+    show('records.inflate_ms', _least_ms(lambda: inflate_record(sent)))
     ways = (
         Way('as_published', item),
         Way('grpc', item, grpc.Compression.Gzip),
@@ -113,13 +113,13 @@
 async def _measure(show: Show, way: Way) -> None:
     """Answer some calls over one connection, and some that are counted."""
 
-    async def answer(_ask: ChangesAsk, _context: object) -> Changes:
+    async def answer(_ask: ChangesRequest, _context: object) -> Changes:
         return Changes(through=1, items=(way.item,))
 
     server = aio.server(compression=way.compression)
     handler = grpc.unary_unary_rpc_method_handler(
         answer,
-        request_deserializer=lambda ask: decode_message(ask, ChangesAsk),
+        request_deserializer=lambda ask: decode_message(ask, ChangesRequest),
         response_serializer=encode_message,
     )
     server.add_generic_rpc_handlers(
@@ -151,9 +151,9 @@
     """Give the processor time of some answers, both ends together."""
     begun = time.process_time()
     for _ in range(ANSWERS):
-        ask = ChangesAsk(0, takes_deflated=True)
+        ask = ChangesRequest(0, takes_deflated=True)
         reply = await client.call(f'127.0.0.1:{port}', CHANGES, ask)
-        inflated(reply.items[0])
+        inflate_record(reply.items[0])
     return (time.process_time() - begun) * MS
 
 
--- a/measure/route.py
+++ b/measure/route.py
@@ -28,7 +28,7 @@
     CompletionBody,
 )
 from crowrudder_daemon.entry._parts import Ended
-from crowrudder_daemon.entry._requests import RequestCame
+from crowrudder_daemon.entry._requests import RequestReceived
 from crowrudder_model import Outcome
 from crowrudder_model.declared import Customer
 
@@ -110,7 +110,7 @@
                 budget_s=self.deadline_s,
                 idempotent=number % 2 == 0,
                 priority=5,
-                id_made_here=True,
+                id_generated=True,
             ),
             service=SERVICE,
             completion=CompletionBody(
@@ -125,7 +125,9 @@
         began = loop.time()
         first_s = 0.0
         parts: asyncio.Queue[Any] = asyncio.Queue()
-        self.fleet.rng.choice(self.fleet.entries).post(RequestCame(req, parts))
+        self.fleet.rng.choice(self.fleet.entries).post(
+            RequestReceived(req, parts)
+        )
         while not isinstance(part := await parts.get(), Ended):
             first_s = first_s or loop.time() - began
         self.done.append(
--- a/measure/state.py
+++ b/measure/state.py
@@ -5,15 +5,15 @@
 import tracemalloc
 from typing import TYPE_CHECKING
 
-from crowrudder_core.requests import AgentLedger, ClaimBook, RequestOwner
+from crowrudder_core.requests import AgentLedger, ClaimRegistry, RequestOwner
 from crowrudder_model import encode_message
 from crowrudder_model.messages import (
     Attempt,
     AttemptKey,
-    ClaimAsk,
+    ClaimRequest,
     Piece,
     Report,
-    RunDown,
+    RunServerMessage,
 )
 
 if TYPE_CHECKING:
@@ -38,8 +38,8 @@
     )
 
 
-def _ask(number: int) -> ClaimAsk:
-    return ClaimAsk(
+def _ask(number: int) -> ClaimRequest:
+    return ClaimRequest(
         request_id=f'{number:032x}',
         owner='f' * 16,
         serial=number,
@@ -48,7 +48,7 @@
 
 
 def _claims(count: int) -> object:
-    book = ClaimBook()
+    book = ClaimRegistry()
     for number in range(count):
         book.claim(_ask(number), now=0.0)
     return book
@@ -73,7 +73,7 @@
 
 def _pieces(count: int) -> object:
     return [
-        RunDown(
+        RunServerMessage(
             piece=Piece(
                 request_id=f'{number:032x}',
                 version='listing-v1',
--- a/measure/weights.py
+++ b/measure/weights.py
@@ -28,10 +28,10 @@
 from crowrudder_core.transfer import (
     ChunkStore,
     FromPeer,
-    Stock,
+    PeerInventory,
     Transfer,
     full,
-    transfer_of,
+    start_transfer,
 )
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 TREE_WIDTH = 2
 HALF_DUPLEX_SIZES = (8, 32)
 COPIES_AT = 32
-MOST_COPIES = 4
+MAX_COPIES = 4
 DEAD_SHARE = 1 / 3
 CORRUPTED_SHARE = 0.01
 DESIGN_HOSTS = 1800
@@ -111,7 +111,7 @@
 
 
 def _further_copies(show: Show) -> None:
-    for copies in range(1, MOST_COPIES + 1):
+    for copies in range(1, MAX_COPIES + 1):
         fleet = Fleet(Scene(hosts=COPIES_AT, chunks=CHUNKS, copies=copies))
         fleet.run()
         name = f'weights.declared_copies.{copies}'
@@ -137,7 +137,7 @@
     store = ChunkStore(manifest.size)
     store.want([manifest])
     places = {f'h{n}': place_of(n) for n in range(DESIGN_HOSTS)}
-    transfer = transfer_of(
+    transfer = start_transfer(
         manifest,
         host='h0',
         place=places['h0'],
@@ -157,9 +157,11 @@
     began = time.process_time()
     for step in range(PLANS):
         now = step * chunk_s
-        for host in transfer.peers_to_ask(now=now):
+        for host in transfer.peers_to_query(now=now):
             chunks = rng.getrandbits(CHUNKS) & full(CHUNKS)
-            transfer.on_stock(Stock(host=host, chunks=chunks, slots=2), now=now)
+            transfer.on_inventory(
+                PeerInventory(host=host, chunks=chunks, slots=2), now=now
+            )
         for read in transfer.next_reads(now=now):
             if isinstance(read, FromPeer):
                 transfer.on_busy(read, now=now)
--- a/measure/weights_choices.py
+++ b/measure/weights_choices.py
@@ -36,10 +36,10 @@
     for slots in (1, 4):
         links = Links(slots=slots)
         _time(show, f'upload_slots.{slots}', links=links)
-    with mock.patch.object(_origin, 'ORIGIN_LINKS', NO_STAGGER):
+    with mock.patch.object(_origin, 'ORIGIN_CAPACITY_LINKS', NO_STAGGER):
         _time(show, 'origin.no_stagger')
     for seeds in (4, 8, 16):
-        with mock.patch.object(_origin, 'MOST_SEEDS', seeds):
+        with mock.patch.object(_origin, 'MAX_SEEDS', seeds):
             _time(show, f'seeds.{seeds}')
     for chunks in (32, 64, 256, 512):
         fleet = _run(Scene(hosts=HOSTS, chunks=chunks))
--- a/measure/weights_returns.py
+++ b/measure/weights_returns.py
@@ -15,18 +15,18 @@
 from _weights_links import MICROS
 from weights_window import NOTICE_US, _Window
 
-from crowrudder_core.membership import drawn
+from crowrudder_core.membership import sample_ips
 from crowrudder_core.transfer import FromOrigin
 from crowrudder_daemon.fleet_agent._library import (
-    FAR_NEIGHBOURS,
-    NEIGHBOURS,
-    PACE,
+    MAX_NEIGHBOURS,
+    MAX_REMOTE_NEIGHBOURS,
+    TRANSFER_PACING,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from crowrudder_core.transfer import Read, Stock
+    from crowrudder_core.transfer import PeerInventory, Read
 
     Show = Callable[[str, float | str], None]
 
@@ -61,7 +61,7 @@
         self.origin_up = False
         self.origin.drop_all()
         for host in self.hosts.values():
-            for read in list(host.transfer.flights):
+            for read in list(host.transfer.in_flight):
                 if isinstance(read, FromOrigin):
                     self._failed(host, read)
 
@@ -83,8 +83,12 @@
         region = host.place.region
         near = [each.name for each in others if each.place.region == region]
         far = [each.name for each in others if each.place.region != region]
-        chosen = drawn(near, NEIGHBOURS - FAR_NEIGHBOURS, self.random)
-        chosen = chosen + drawn(far, NEIGHBOURS - len(chosen), self.random)
+        chosen = sample_ips(
+            near, MAX_NEIGHBOURS - MAX_REMOTE_NEIGHBOURS, self.random
+        )
+        chosen = chosen + sample_ips(
+            far, MAX_NEIGHBOURS - len(chosen), self.random
+        )
         return [self.hosts[name] for name in chosen]
 
     def _arrive(
@@ -93,7 +97,7 @@
         read: Read,
         began: int,
         way: int,
-        stock: Stock | None,
+        stock: PeerInventory | None,
     ) -> None:
         is_cut = isinstance(read, FromOrigin) and not self.origin_up
         if not is_cut:
@@ -106,7 +110,7 @@
         hosts=hosts,
         chunks=64,
         seed=seed,
-        changes={**PACE, **changes},
+        changes={**TRANSFER_PACING, **changes},
         links=LINKS,
     )
     fleet = Returns(scene)
--- a/measure/weights_window.py
+++ b/measure/weights_window.py
@@ -16,11 +16,11 @@
 from _weights_links import MICROS
 
 from crowrudder_core.transfer import (
-    chunks_of,
+    assign_layer_ranges,
+    chunks_of_layers,
     full,
-    layers_of,
-    part_count,
-    parts_of,
+    layer_range_count,
+    layers_of_range,
 )
 
 if TYPE_CHECKING:
@@ -112,11 +112,11 @@
 
     def want_parts(self) -> None:
         """Let each host want its part of the version first."""
-        parts = parts_of(self.manifest.version, self.places)
-        count = part_count(len(parts))
+        parts = assign_layer_ranges(self.manifest.version, self.places)
+        count = layer_range_count(len(parts))
         for name, host in self.hosts.items():
-            layers = layers_of(parts[name], count, LAYERS)
-            host.transfer.first = chunks_of(
+            layers = layers_of_range(parts[name], count, LAYERS)
+            host.transfer.first = chunks_of_layers(
                 layers, layers=LAYERS, chunks=self.scene.chunks
             )
 
--- a/packages/client/src/crowrudder_client/_directory.py
+++ b/packages/client/src/crowrudder_client/_directory.py
@@ -8,13 +8,13 @@
 from crowrudder_model.declared import (
     Bundle,
     BundleError,
-    Reading,
+    ParsedDeclaration,
     decode_bundle,
     read_files,
 )
 
 
-def read_directory(directory: str) -> Reading:
+def read_directory(directory: str) -> ParsedDeclaration:
     """Read all `.ini` files of a directory.
 
     Raises
--- a/packages/core/src/crowrudder_core/catalog/__init__.py
+++ b/packages/core/src/crowrudder_core/catalog/__init__.py
@@ -3,17 +3,17 @@
 from crowrudder_core.catalog._answer_timeout import AnswerTimeout
 from crowrudder_core.catalog._catalog import Catalog
 from crowrudder_core.catalog._packing import (
-    MOST_RECORD_BYTES,
-    SMALLEST_DEFLATED_BYTES,
-    deflated,
-    inflated,
+    MAX_RECORD_BYTES,
+    MIN_DEFLATED_BYTES,
+    deflate_record,
+    inflate_record,
 )
-from crowrudder_core.catalog._punctuality import Punctuality
+from crowrudder_core.catalog._punctuality import TickMonitor
 from crowrudder_core.catalog._reading import (
-    RETURN_S,
+    RECOVERY_WINDOW_S,
     WATCH_WAIT_S,
     WATCHERS,
-    StoreReading,
+    StoreReadPolicy,
     StoreStep,
 )
 from crowrudder_core.catalog._releases import Release, Releases
@@ -22,22 +22,22 @@
 from crowrudder_core.catalog._watch_ages import WatchAges
 
 __all__ = (
-    'MOST_RECORD_BYTES',
-    'RETURN_S',
-    'SMALLEST_DEFLATED_BYTES',
+    'MAX_RECORD_BYTES',
+    'RECOVERY_WINDOW_S',
+    'MIN_DEFLATED_BYTES',
     'AnswerTimeout',
     'Catalog',
     'FleetView',
     'ListedUpstream',
-    'Punctuality',
+    'TickMonitor',
     'Release',
     'Releases',
     'RouteTable',
-    'StoreReading',
+    'StoreReadPolicy',
     'StoreStep',
     'WATCHERS',
     'WATCH_WAIT_S',
     'WatchAges',
-    'deflated',
-    'inflated',
+    'deflate_record',
+    'inflate_record',
 )
--- a/packages/core/src/crowrudder_core/catalog/_answer_timeout.py
+++ b/packages/core/src/crowrudder_core/catalog/_answer_timeout.py
@@ -35,7 +35,7 @@
             max(TIMEOUT_FACTOR * took_s, MIN_TIMEOUT_S), MAX_TIMEOUT_S
         )
 
-    def on_lost(self, took_s: float) -> None:
+    def on_failure(self, took_s: float) -> None:
         """Record a request that failed after a time.
 
         A failure before the timeout, such as a refused connection, says
--- a/packages/core/src/crowrudder_core/catalog/_catalog.py
+++ b/packages/core/src/crowrudder_core/catalog/_catalog.py
@@ -115,7 +115,7 @@
             if (age_s := self.age_s(item.key, now=now)) is not None
         )
 
-    def take_ages(
+    def apply_ages(
         self, ages: Iterable[RecordAge], *, now: float
     ) -> list[PublishedItem]:
         """Apply ages to records without one and return these records.
--- a/packages/core/src/crowrudder_core/catalog/_packing.py
+++ b/packages/core/src/crowrudder_core/catalog/_packing.py
@@ -19,16 +19,16 @@
 if TYPE_CHECKING:
     from crowrudder_model.messages import PublishedItem
 
-SMALLEST_DEFLATED_BYTES = 1024
+MIN_DEFLATED_BYTES = 1024
 """A smaller record fits into one packet (1,460 bytes) together with its
 framing, so that deflating it wouldn't speed up the transfer."""
 
-MOST_RECORD_BYTES = 1 << 20
+MAX_RECORD_BYTES = 1 << 20
 """The platform accepts no larger value. Without a bound, a few KB from a peer
 could inflate to more memory than the process may use."""
 
 
-def deflated(item: PublishedItem) -> PublishedItem:
+def deflate_record(item: PublishedItem) -> PublishedItem:
     """Return a record in the form that is sent to other processes.
 
     A record that is too large to be inflated, or that doesn't get smaller, is
@@ -37,7 +37,7 @@
     payload = item.payload
     if payload is None or item.is_deflated:
         return item
-    if not SMALLEST_DEFLATED_BYTES <= len(payload) <= MOST_RECORD_BYTES:
+    if not MIN_DEFLATED_BYTES <= len(payload) <= MAX_RECORD_BYTES:
         return item
     body = zlib.compress(payload)
     if len(body) >= len(payload):
@@ -45,7 +45,7 @@
     return evolve(item, payload=body, is_deflated=True)
 
 
-def inflated(item: PublishedItem) -> PublishedItem:
+def inflate_record(item: PublishedItem) -> PublishedItem:
     """Return a record in its published form.
 
     Raises
@@ -56,5 +56,5 @@
     """
     if item.payload is None or not item.is_deflated:
         return item
-    body = inflate(item.payload, most_bytes=MOST_RECORD_BYTES, peer=item.key)
+    body = inflate(item.payload, max_bytes=MAX_RECORD_BYTES, peer=item.key)
     return evolve(item, payload=body, is_deflated=False)
--- a/packages/core/src/crowrudder_core/catalog/_punctuality.py
+++ b/packages/core/src/crowrudder_core/catalog/_punctuality.py
@@ -6,13 +6,13 @@
 
 from attrs import define
 
-LATE_S = 0.15
+LATE_TICK_S = 0.15
 """A tick delayed by more than this shows that the process was suspended or
 starved."""
 
 
 @define
-class Punctuality:
+class TickMonitor:
     """Tracks the regular ticks of an event loop.
 
     A process that was paused or suspended, or that lacks processor time, reads
@@ -22,11 +22,11 @@
 
     Parameters
     ----------
-    every_s
+    interval_s
         Time between two ticks.
     """
 
-    every_s: float
+    interval_s: float
     _ticked_at: float = math.inf
     _late_at: float = -math.inf
 
@@ -36,12 +36,14 @@
             self._late_at = now
         self._ticked_at = now
 
-    def is_given(self, now: float) -> bool:
+    def is_on_time(self, now: float) -> bool:
         """Return whether data read now can't have waited for long.
 
         A late tick may run before data that arrived during the delay is read.
         """
-        return not self._is_overdue(now) and now - self._late_at > self.every_s
+        return (
+            not self._is_overdue(now) and now - self._late_at > self.interval_s
+        )
 
     def _is_overdue(self, now: float) -> bool:
-        return now - self._ticked_at > self.every_s + LATE_S
+        return now - self._ticked_at > self.interval_s + LATE_TICK_S
--- a/packages/core/src/crowrudder_core/catalog/_reading.py
+++ b/packages/core/src/crowrudder_core/catalog/_reading.py
@@ -58,7 +58,7 @@
 """Longest time between two confirmations from a working platform: the wait of
 a watch plus the time for its answer."""
 
-RETURN_S = 3.0
+RECOVERY_WINDOW_S = 3.0
 """Time after an outage of the platform in which its records may still show
 effects of the outage: lapsed records that return, and changes of unknown
 age."""
@@ -87,11 +87,11 @@
 
     LIST = 'list'
     WATCH = 'watch'
-    REST = 'rest'
+    IDLE = 'rest'
 
 
 @define
-class StoreReading:
+class StoreReadPolicy:
     """Let a few processes read the platform, and others when these fail.
 
     The platform may refuse a few hosts and serve the rest. If the refused
@@ -159,7 +159,7 @@
         self.failures = 0
         self._confirm(now, now)
 
-    def on_peer(self, confirmed_s: float, now: float) -> None:
+    def on_peer_report(self, confirmed_s: float, now: float) -> None:
         """Record a peer's report of the last answer from the platform."""
         self._confirm(now - max(confirmed_s, 0), now)
 
@@ -167,7 +167,7 @@
         """Record that the platform gave no valid answer."""
         self.failures += 1
 
-    def on_forgotten(self) -> None:
+    def on_history_lost(self) -> None:
         """Record that the platform no longer has the requested changes."""
         self.needs_list = True
 
@@ -194,7 +194,9 @@
         if not is_informed:
             return None
         return (
-            0 if now - self.returned_at < RETURN_S else MAX_CONFIRMATION_GAP_S
+            0
+            if now - self.returned_at < RECOVERY_WINDOW_S
+            else MAX_CONFIRMATION_GAP_S
         )
 
     def _confirm(self, at: float, now: float) -> None:
@@ -224,13 +226,13 @@
         ):
             return StoreStep.LIST
         if self.others and now < self.joins_at:
-            return StoreStep.REST
+            return StoreStep.IDLE
         if self.rank < WATCHERS or self._takes_over(now):
             return StoreStep.LIST if self.needs_list else StoreStep.WATCH
-        return StoreStep.REST
+        return StoreStep.IDLE
 
     @property
-    def gather_s(self) -> float:
+    def batch_pause_s(self) -> float:
         """Return the pause between an answer with changes and the next watch."""
         return BATCH_PAUSES_S[min(self.rank, WATCHERS - 1)]
 
--- a/packages/core/src/crowrudder_core/catalog/_releases.py
+++ b/packages/core/src/crowrudder_core/catalog/_releases.py
@@ -28,12 +28,12 @@
     window_s
         Time from the publication of a version until no request may begin on
         an older one.
-    free_until
+    enforced_from
         Time on the local clock from which this process enforces the window.
     """
 
     window_s: float
-    free_until: float = -math.inf
+    enforced_from: float = -math.inf
     _named: dict[str, list[Release]] = field(factory=dict)
 
     def on_named(
@@ -58,7 +58,7 @@
         if known and version < known[-1].version:
             return
         if age_s is None:
-            age_s = self.window_s - max(self.free_until - now, 0)
+            age_s = self.window_s - max(self.enforced_from - now, 0)
         release = Release(version, now - age_s)
         if known and version == known[-1].version:
             # Received again, from a process that knows its age.
--- a/packages/core/src/crowrudder_core/catalog/_view.py
+++ b/packages/core/src/crowrudder_core/catalog/_view.py
@@ -11,13 +11,13 @@
 from crowrudder_core.catalog._routes import RouteTable
 from crowrudder_model.fleet import (
     FleetConfig,
-    NamedVersion,
+    TargetVersion,
     Upstream,
     UpstreamState,
 )
 
 if TYPE_CHECKING:
-    from crowrudder_model.fleet import Published
+    from crowrudder_model.fleet import PublishedRecord
 
 LAPSE_GRACE_S = 1.5
 """How long an upstream may still be used after its record has lapsed.
@@ -54,7 +54,7 @@
     """
 
     version_window_s: float
-    free_until: float = -math.inf
+    enforced_from: float = -math.inf
     config: FleetConfig | None = None
     routes: RouteTable = field(factory=lambda: RouteTable(()))
     releases: Releases = field(init=False)
@@ -63,12 +63,12 @@
 
     def __attrs_post_init__(self) -> None:
         """Create the empty list of releases."""
-        self.releases = Releases(self.version_window_s, self.free_until)
+        self.releases = Releases(self.version_window_s, self.enforced_from)
 
     def on_record(
         self,
         key: str,
-        record: Published,
+        record: PublishedRecord,
         *,
         age_s: float | None,
         now: float,
@@ -80,7 +80,7 @@
             case Upstream():
                 self._ids[key] = record.id
                 self._listed[record.id] = ListedUpstream(record)
-            case NamedVersion(model=model, version=version):
+            case TargetVersion(model=model, version=version):
                 self.releases.on_named(model, version, age_s=age_s, now=now)
 
     def on_removed(self, key: str, *, now: float, may_return: bool) -> None:
@@ -106,7 +106,7 @@
         """
         self.on_removed(key, now=now, may_return=False)
 
-    def forget_gone(self, *, now: float) -> list[Upstream]:
+    def remove_expired(self, *, now: float) -> list[Upstream]:
         """Drop upstreams whose grace period has ended and return them."""
         gone = [
             listed.upstream
--- a/packages/core/src/crowrudder_core/catalog/_watch_ages.py
+++ b/packages/core/src/crowrudder_core/catalog/_watch_ages.py
@@ -4,7 +4,7 @@
 
 from attrs import define
 
-QUICK_S = 0.25
+IMMEDIATE_ANSWER_S = 0.25
 """An answer within this time may contain changes published before the watch
 was requested: the platform answers such a watch within some milliseconds, and
 under stress takes sixty times as long."""
@@ -34,7 +34,7 @@
 
     known_until: float | None = None
 
-    def on_rest(self) -> None:
+    def on_idle(self) -> None:
         """Record that this process doesn't watch."""
         self.known_until = None
 
@@ -81,7 +81,7 @@
             When the platform's last outage ended. No process could know changes
             published during it; their ages count from its end.
         is_punctual
-            Whether this process read its sockets in time, see `Punctuality`.
+            Whether this process read its sockets in time, see `TickMonitor`.
             If not, this process may have been suspended, and the platform
             reachable all the time.
         """
@@ -90,6 +90,6 @@
         )
         if not is_punctual:
             return min(known_until, now)
-        if now - asked_at > QUICK_S:
+        if now - asked_at > IMMEDIATE_ANSWER_S:
             return now
         return min(max(known_until, returned_at), now)
--- a/packages/core/src/crowrudder_core/config/__init__.py
+++ b/packages/core/src/crowrudder_core/config/__init__.py
@@ -2,7 +2,7 @@
 
 from crowrudder_core.config._book import (
     Accepted,
-    ConfigBook,
+    ActiveConfig,
     ConfigOrder,
     Held,
     Ignored,
@@ -14,7 +14,7 @@
 )
 from crowrudder_core.config._reading import (
     WATCHERS,
-    PlatformReading,
+    PlatformReadPolicy,
     ReadingMode,
     watchers_of,
 )
@@ -22,13 +22,13 @@
 __all__ = (
     'WATCHERS',
     'Accepted',
-    'ConfigBook',
+    'ActiveConfig',
     'ConfigOrder',
     'Held',
     'Ignored',
     'Lost',
     'Offer',
-    'PlatformReading',
+    'PlatformReadPolicy',
     'ReadingMode',
     'Refused',
     'Verdict',
--- a/packages/core/src/crowrudder_core/config/_book.py
+++ b/packages/core/src/crowrudder_core/config/_book.py
@@ -88,7 +88,7 @@
 
 
 @define
-class ConfigBook:
+class ActiveConfig:
     """Keep the newest bundle in force; its order never decreases.
 
     A new process accepts offers only after it has asked its peers. Otherwise,
--- a/packages/core/src/crowrudder_core/config/_reading.py
+++ b/packages/core/src/crowrudder_core/config/_reading.py
@@ -67,7 +67,7 @@
 
 
 @define
-class PlatformReading:
+class PlatformReadPolicy:
     """Keep the platform read with a bounded number of calls.
 
     The platform accepts a limited number of calls from the whole fleet, and
@@ -99,7 +99,7 @@
         order = watchers_of(self.domain, members, suspects)
         self.rank = order.index(self.host) if self.host in order else None
 
-    def on_heard(self, age_s: float, now: float) -> None:
+    def on_peer_report(self, age_s: float, now: float) -> None:
         """Record a peer's message with the age of the last reading it knows."""
         self.peer_seen_at = now
         self.read_at = max(self.read_at, now - max(age_s, 0))
--- a/packages/core/src/crowrudder_core/dispatch/_dispatch.py
+++ b/packages/core/src/crowrudder_core/dispatch/_dispatch.py
@@ -47,7 +47,7 @@
     status: int
 
 
-Ending = NotSent | NotRun | Broken | Answered
+AttemptOutcome = NotSent | NotRun | Broken | Answered
 
 
 @frozen
@@ -82,7 +82,7 @@
     reason: str
 
 
-Next = SendAgain | Relay | Refuse | Fail | Reject
+Decision = SendAgain | Relay | Refuse | Fail | Reject
 
 
 @define(kw_only=True)
@@ -90,22 +90,22 @@
     """The sends of one request, and what may be sent and answered next.
 
     Invariants: a request that is not repeatable isn't sent again once it may
-    have run; it is sent to at most ``most_sends`` upstreams; a request that
+    have run; it is sent to at most ``max_sends`` upstreams; a request that
     may have run is never reported as not run.
 
     Parameters
     ----------
     repeatable
         Whether it may run more than once.
-    most_sends
+    max_sends
         Most upstreams to which it may be sent.
-    limit_at
+    deadline_at
         Time by which its caller gets a final answer.
     """
 
     repeatable: bool
-    most_sends: int
-    limit_at: float
+    max_sends: int
+    deadline_at: float
     sends: int = field(default=0, init=False)
     unresolved_sends: int = field(default=0, init=False)
     """Sends that no upstream has reported as not run."""
@@ -119,11 +119,11 @@
 
     def may_send(self, now: float) -> bool:
         """Return whether the request may be sent to one more upstream."""
-        if self.sends >= self.most_sends:
+        if self.sends >= self.max_sends:
             return False
         if self.may_have_run and not self.repeatable:
             return False
-        return now + MIN_TIME_LEFT_S < self.limit_at
+        return now + MIN_TIME_LEFT_S < self.deadline_at
 
     def on_sent(self, upstream_id: str, *, now: float) -> None:
         """Record that the request is sent now.
@@ -141,26 +141,26 @@
 
     def after(
         self,
-        ending: Ending,
+        ending: AttemptOutcome,
         *,
         now: float,
-        take_retry: Callable[[], bool],
-    ) -> Next:
+        spend_retry: Callable[[], bool],
+    ) -> Decision:
         """Decide what follows from the outcome of an attempt.
 
-        ``take_retry`` spends one of the retries that all entries share.
+        ``spend_retry`` spends one of the retries that all entries share.
         """
         match ending:
             case NotSent(reason=reason):
                 return self._after_not_sent(reason, now)
             case NotRun(reason=reason, retry_after_s=after_s):
-                return self._after_not_run(reason, after_s, now, take_retry)
+                return self._after_not_run(reason, after_s, now, spend_retry)
             case Broken(reason=reason):
-                if self.may_send(now) and take_retry():
+                if self.may_send(now) and spend_retry():
                     return SendAgain()
                 return Fail(reason)
             case Answered(status=status):
-                return self._after_answer(status, now, take_retry)
+                return self._after_answer(status, now, spend_retry)
 
     def refuse(self, reason: str, retry_after_s: float = 0) -> Refuse | Fail:
         """Give up; report as not run only a request that can't have run."""
@@ -168,9 +168,9 @@
             return Fail(reason)
         return Refuse(reason, retry_after_s)
 
-    def _after_not_sent(self, reason: str, now: float) -> Next:
+    def _after_not_sent(self, reason: str, now: float) -> Decision:
         """Try another upstream: none has seen the request, so it is free."""
-        if now + MIN_TIME_LEFT_S < self.limit_at:
+        if now + MIN_TIME_LEFT_S < self.deadline_at:
             return SendAgain()
         return self.refuse(reason)
 
@@ -179,10 +179,10 @@
         reason: str,
         retry_after_s: float,
         now: float,
-        take_retry: Callable[[], bool],
-    ) -> Next:
+        spend_retry: Callable[[], bool],
+    ) -> Decision:
         self.unresolved_sends -= 1
-        if self.may_send(now) and take_retry():
+        if self.may_send(now) and spend_retry():
             return SendAgain()
         return self.refuse(reason, retry_after_s)
 
@@ -190,11 +190,11 @@
         self,
         status: int,
         now: float,
-        take_retry: Callable[[], bool],
-    ) -> Next:
+        spend_retry: Callable[[], bool],
+    ) -> Decision:
         """Relay an answer, unless another upstream may give a better one."""
         if status < SERVER_ERROR or not self.repeatable:
             return Relay()
-        if self.may_send(now) and take_retry():
+        if self.may_send(now) and spend_retry():
             return SendAgain()
         return Relay()
--- a/packages/core/src/crowrudder_core/dispatch/_events.py
+++ b/packages/core/src/crowrudder_core/dispatch/_events.py
@@ -70,7 +70,7 @@
             self.events += len(ids)
         return complete
 
-    def note_passed(self, now: float) -> float:
+    def on_forwarded(self, now: float) -> float:
         """Record that events are forwarded; return the seconds since the last.
 
         The pause counts over all attempts: a caller waits in the same way
--- a/packages/core/src/crowrudder_core/forecast/__init__.py
+++ b/packages/core/src/crowrudder_core/forecast/__init__.py
@@ -4,23 +4,30 @@
     Candidate,
     Choice,
     choose,
-    choose_fitting,
+    choose_eligible,
 )
 from crowrudder_core.forecast._engine import EngineModel
 from crowrudder_core.forecast._incarnation import IncarnationTracker
-from crowrudder_core.forecast._outlook import Outlook, Work
-from crowrudder_core.forecast._pipeline import Holder, Path, path_from
+from crowrudder_core.forecast._pipeline import (
+    LayerHolder,
+    Pipeline,
+    build_pipeline,
+)
+from crowrudder_core.forecast._upstream_forecast import (
+    InFlightRequest,
+    UpstreamForecast,
+)
 
 __all__ = (
     'Candidate',
     'Choice',
     'EngineModel',
-    'Holder',
+    'LayerHolder',
     'IncarnationTracker',
-    'Outlook',
-    'Path',
-    'Work',
+    'UpstreamForecast',
+    'Pipeline',
+    'InFlightRequest',
     'choose',
-    'choose_fitting',
-    'path_from',
+    'choose_eligible',
+    'build_pipeline',
 )
--- a/packages/core/src/crowrudder_core/forecast/_choice.py
+++ b/packages/core/src/crowrudder_core/forecast/_choice.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-from crowrudder_core.forecast._outlook import (
+from crowrudder_core.forecast._upstream_forecast import (
     CROWDED_OCCUPANCY,
     FAILURE_PENALTY_S,
 )
@@ -15,8 +15,8 @@
     from collections.abc import Callable, Iterable, Iterator, Sequence
     from random import Random
 
-    from crowrudder_core.forecast._outlook import Outlook
-    from crowrudder_core.forecast._pipeline import Path
+    from crowrudder_core.forecast._pipeline import Pipeline
+    from crowrudder_core.forecast._upstream_forecast import UpstreamForecast
 
 OTHER_REGION_PENALTY_S = 0.06
 """Cost of the traffic over a link between regions, in seconds of forecast."""
@@ -34,7 +34,7 @@
 entries with the same load reports would all choose the same upstream until the
 next report."""
 
-DRAWN = 4
+SAMPLE_SIZE = 4
 """Number of sampled candidates: three of the own region, if there are as many,
 and one of another."""
 
@@ -51,28 +51,28 @@
     None where the upstream runs all layers.
     """
 
-    outlook: Outlook
+    forecast: UpstreamForecast
     other_domain: bool = False
     other_region: bool = False
     weights: int = 0
-    path: Path | None = None
+    path: Pipeline | None = None
 
 
 @frozen(kw_only=True)
 class Choice:
     """A chosen upstream and its forecast."""
 
-    outlook: Outlook
+    forecast: UpstreamForecast
     first_s: float
     weights: int = 0
-    path: Path | None = None
+    path: Pipeline | None = None
 
     @property
-    def outlooks(self) -> tuple[Outlook, ...]:
+    def forecasts(self) -> tuple[UpstreamForecast, ...]:
         """The engines that the request passes."""
         if self.path is None:
-            return (self.outlook,)
-        return tuple(holder.outlook for holder in self.path.holders)
+            return (self.forecast,)
+        return tuple(holder.forecast for holder in self.path.holders)
 
 
 def choose(
@@ -81,7 +81,7 @@
     prompt: int,
     now: float,
     random: Random,
-    sample_size: int = DRAWN,
+    sample_size: int = SAMPLE_SIZE,
 ) -> Choice | None:
     """Return the best of a random sample of candidates.
 
@@ -101,7 +101,7 @@
     options = list(candidates)
     near = [each for each in options if not each.other_region]
     far = [each for each in options if each.other_region]
-    return choose_fitting(
+    return choose_eligible(
         ((near, sample_size - 1), (far, sample_size)),
         lambda each: each,
         prompt=prompt,
@@ -110,7 +110,7 @@
     )
 
 
-def choose_fitting(
+def choose_eligible(
     pools: Iterable[tuple[Sequence[_Option], int]],
     to_candidate: Callable[[_Option], Candidate | None],
     *,
@@ -141,7 +141,7 @@
             candidate = next(eligible, None)
             if candidate is None:
                 break
-            is_avoided = candidate.outlook.is_avoided(now)
+            is_avoided = candidate.forecast.is_avoided(now)
             (avoided_here if is_avoided else healthy).append(candidate)
         avoided += avoided_here[: target_count - len(avoided)]
     sampled = healthy or avoided
@@ -168,8 +168,8 @@
 ) -> Choice:
     best = min(candidates, key=lambda each: _cost(each, prompt, now, random))
     return Choice(
-        outlook=best.outlook,
-        first_s=best.outlook.admitted_first_s(prompt, now),
+        forecast=best.forecast,
+        first_s=best.forecast.admitted_first_s(prompt, now),
         weights=best.weights,
         path=best.path,
     )
@@ -181,14 +181,14 @@
     now: float,
     random: Random,
 ) -> float:
-    outlook = candidate.outlook
-    excess = max(outlook.occupancy(now) - CROWDED_OCCUPANCY, 0) / (
+    forecast = candidate.forecast
+    excess = max(forecast.occupancy(now) - CROWDED_OCCUPANCY, 0) / (
         1 - CROWDED_OCCUPANCY
     )
     return (
-        outlook.first_s(prompt, now)
+        forecast.first_s(prompt, now)
         + OCCUPANCY_PENALTY_S * excess
-        + FAILURE_PENALTY_S * outlook.failure_share
+        + FAILURE_PENALTY_S * forecast.failure_share
         + OTHER_REGION_PENALTY_S * candidate.other_region
         + OTHER_DOMAIN_PENALTY_S * candidate.other_domain
         + _hop_penalty_s(candidate.path)
@@ -196,7 +196,7 @@
     )
 
 
-def _hop_penalty_s(path: Path | None) -> float:
+def _hop_penalty_s(path: Pipeline | None) -> float:
     if path is None:
         return 0
     hops = len(path.parts) - 1
--- a/packages/core/src/crowrudder_core/forecast/_engine.py
+++ b/packages/core/src/crowrudder_core/forecast/_engine.py
@@ -42,7 +42,7 @@
         steps = self.figures.steps_per_pass if writers else 1
         return steps * self.step_s(writers)
 
-    def read_s(self, tokens: int) -> float:
+    def prefill_s(self, tokens: int) -> float:
         """Return the time to prefill a prompt."""
         pairs = tokens * tokens / 2 / _MILLION
         figures = self.figures
@@ -59,8 +59,8 @@
         """
         figures = self.figures
         writing = figures.usual_answer * self.step_s(writers)
-        return writing + max(writers, 1) * self.read_s(figures.usual_prompt)
+        return writing + max(writers, 1) * self.prefill_s(figures.usual_prompt)
 
-    def turn_s(self, writers: int) -> float:
+    def slot_interval_s(self, writers: int) -> float:
         """Return the time between two freed slots under full load."""
         return self.run_s(writers) / max(self.figures.slots, 1)
--- a/packages/core/src/crowrudder_core/forecast/_pipeline.py
+++ b/packages/core/src/crowrudder_core/forecast/_pipeline.py
@@ -7,13 +7,13 @@
 
 from attrs import frozen
 
-from crowrudder_model.fleet import LayerRange, PathPart
+from crowrudder_model.fleet import LayerRange, PipelineStage
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from random import Random
 
-    from crowrudder_core.forecast._outlook import Outlook
+    from crowrudder_core.forecast._upstream_forecast import UpstreamForecast
 
 MAX_STAGES = 4
 """Most engines of a pipeline; each adds a point of failure and a hop per
@@ -21,25 +21,27 @@
 
 
 @frozen(kw_only=True)
-class Holder:
+class LayerHolder:
     """An engine that holds a layer range of a version."""
 
-    outlook: Outlook
+    forecast: UpstreamForecast
     layers: LayerRange
     region: str = ''
 
-    def stage_from(self, first: int, layers: int) -> PathPart:
+    def stage_from(self, first: int, layers: int) -> PipelineStage:
         """Return its pipeline stage from layer ``first`` on."""
         end = min(self.layers.end, layers)
-        return PathPart(self.outlook.upstream.address, LayerRange(first, end))
+        return PipelineStage(
+            self.forecast.upstream.address, LayerRange(first, end)
+        )
 
 
 @frozen(kw_only=True)
-class Path:
+class Pipeline:
     """A pipeline: engines that run all layers, each once and in order."""
 
-    holders: tuple[Holder, ...]
-    parts: tuple[PathPart, ...]
+    holders: tuple[LayerHolder, ...]
+    parts: tuple[PipelineStage, ...]
 
     @property
     def crossings(self) -> int:
@@ -51,13 +53,13 @@
         )
 
 
-def path_from(
-    first: Holder,
-    holders: Sequence[Holder],
+def build_pipeline(
+    first: LayerHolder,
+    holders: Sequence[LayerHolder],
     *,
     layers: int,
     random: Random,
-) -> Path | None:
+) -> Pipeline | None:
     """Build a pipeline from its first engine; None where layers are missing.
 
     All holders must be of one version. Nothing else checks that a pipeline has
@@ -87,9 +89,9 @@
             eligible,
             key=lambda each: (
                 each.region != first.region,
-                each.outlook.own + random.random(),
+                each.forecast.own + random.random(),
             ),
         )
         chosen.append(best)
         parts.append(best.stage_from(next_layer, layers))
-    return Path(holders=tuple(chosen), parts=tuple(parts))
+    return Pipeline(holders=tuple(chosen), parts=tuple(parts))
--- a/packages/core/src/crowrudder_core/forecast/_outlook.py
+++ b/packages/core/src/crowrudder_core/forecast/_upstream_forecast.py
@@ -22,15 +22,15 @@
 """Share of the slots assumed to be in use at an engine without a fresh load
 report."""
 
-WORD_LIVE_S = 1.0
+LOAD_REPORT_TTL_S = 1.0
 """Time for which an agent's load report counts; one is sent every 0.1 s."""
 
-PART_WORD_S = 0.5
+STAGE_REPORT_TTL_S = 0.5
 """Time for which a load report makes an engine eligible as a pipeline stage.
 An agent announces a second before that it drops a partial version, see
 `Loader`."""
 
-ON_THE_WAY_S = 0.004
+IN_TRANSIT_S = 0.004
 """A request sent less than this before a load report may be missing from
 it."""
 
@@ -55,7 +55,7 @@
 
 
 @define
-class Work:
+class InFlightRequest:
     """A request that is at an upstream."""
 
     prompt: int
@@ -64,7 +64,7 @@
 
 
 @define(eq=False)
-class Outlook:
+class UpstreamForecast:
     """The state of one upstream as seen by an entry.
 
     Own requests are known as of now. Those of other entries come from the
@@ -84,7 +84,7 @@
     _load_as_of: float = -1.0e9
     _own_in_load: int = 0
     _own_unread_in_load: int = 0
-    _in_flight: dict[int, Work] = field(factory=dict)
+    _in_flight: dict[int, InFlightRequest] = field(factory=dict)
     _incarnation: IncarnationTracker = field(factory=IncarnationTracker)
 
     def __attrs_post_init__(self) -> None:
@@ -101,7 +101,7 @@
         self._reset(now)
         return True
 
-    def on_figures(self, figures: EngineFigures | None) -> None:
+    def on_engine_figures(self, figures: EngineFigures | None) -> None:
         """Set the engine figures of the upstream's service."""
         self.model = EngineModel(figures) if figures else None
 
@@ -126,7 +126,7 @@
         counted = [
             work
             for work in self._in_flight.values()
-            if work.sent_at <= now - ON_THE_WAY_S
+            if work.sent_at <= now - IN_TRANSIT_S
         ]
         self._own_in_load = len(counted)
         self._own_unread_in_load = sum(not work.has_begun for work in counted)
@@ -134,15 +134,15 @@
 
     def fresh_load(self, now: float) -> EngineLoad | None:
         """Return the load report, or None if it has expired."""
-        if now - self._load_as_of > WORD_LIVE_S:
+        if now - self._load_as_of > LOAD_REPORT_TTL_S:
             return None
         return self.load
 
-    def word_age_s(self, now: float) -> float:
+    def load_report_age_s(self, now: float) -> float:
         """Return the age of the last load report; -1 if there was none."""
         return now - self._load_as_of if self.load else -1
 
-    def on_sent(self, ticket: int, work: Work) -> None:
+    def on_sent(self, ticket: int, work: InFlightRequest) -> None:
         """Count a request that is sent."""
         self._in_flight[ticket] = work
 
@@ -165,18 +165,18 @@
         age_s = max(now - self._slowness_updated_at, 0)
         return 1 + (self.slowness - 1) * math.exp(-age_s / SLOWNESS_DECAY_S)
 
-    def on_ended(self, ticket: int) -> Work | None:
+    def on_ended(self, ticket: int) -> InFlightRequest | None:
         """Remove a request that is no longer at the upstream."""
         return self._in_flight.pop(ticket, None)
 
-    def on_good(self, took_s: float) -> None:
+    def on_success(self, took_s: float) -> None:
         """Record a complete answer."""
         self.failures = 0
         self.avoid_until = 0
         self.failure_share = _running_mean(self.failure_share, 0)
         self.run_s = _running_mean(self.run_s, took_s)
 
-    def on_bad(self, *, now: float, avoid: bool) -> None:
+    def on_failure(self, *, now: float, avoid: bool) -> None:
         """Record a failure; ``avoid`` where the upstream may be down."""
         self.failure_share = _running_mean(self.failure_share, 1)
         if not avoid:
@@ -185,7 +185,7 @@
         pause_s = INITIAL_AVOID_S * 2 ** min(self.failures - 1, 6)
         self.avoid_until = now + min(pause_s, MAX_AVOID_S)
 
-    def on_paused(self) -> None:
+    def on_stream_stall(self) -> None:
         """Record a stream that stalled for too long."""
         self.failure_share = _running_mean(self.failure_share, 1)
 
@@ -207,7 +207,7 @@
         if load is not None:
             return load.weights
         record = self.upstream
-        if not self._incarnation.is_recorded or not record.layers.is_whole(
+        if not self._incarnation.is_recorded or not record.layers.is_complete(
             self._model_layers
         ):
             return 0
@@ -220,11 +220,13 @@
         already hold the same layers of another version.
         """
         load = self.load
-        if load is None or now - self._load_as_of > PART_WORD_S:
+        if load is None or now - self._load_as_of > STAGE_REPORT_TTL_S:
             return None
-        if load.is_changing or not load.reachable or not load.part_version:
+        if load.is_changing or not load.reachable or not load.partial_version:
             return None
-        return load.part_version, LayerRange(load.part_first, load.part_end)
+        return load.partial_version, LayerRange(
+            load.first_layer, load.end_layer
+        )
 
     @property
     def _model_layers(self) -> int:
@@ -313,15 +315,15 @@
         slots = max(self.upstream.slots, 1)
         writers = min(total, slots)
         unread_s = self._unread_prompts_s(model, now)
-        slot_wait_s = max(total + 1 - slots, 0) * model.turn_s(writers)
+        slot_wait_s = max(total + 1 - slots, 0) * model.slot_interval_s(writers)
         pass_s = model.pass_s(writers)
-        own_read_s = model.read_s(prompt) + 1.5 * pass_s
+        own_read_s = model.prefill_s(prompt) + 1.5 * pass_s
         return slowdown * (slot_wait_s + unread_s + own_read_s)
 
     def _unread_prompts_s(self, model: EngineModel, now: float) -> float:
         """Estimate the prefill time of the prompts that are ahead."""
         own = sum(
-            model.read_s(work.prompt)
+            model.prefill_s(work.prompt)
             for work in self._in_flight.values()
             if not work.has_begun
         )
@@ -329,7 +331,7 @@
         if load is None:
             return own * (1 + self.other_entries)
         others = max(load.queued - self._own_unread_in_load, 0)
-        return own + others * model.read_s(model.figures.usual_prompt)
+        return own + others * model.prefill_s(model.figures.usual_prompt)
 
 
 def _running_mean(before: float, measured: float) -> float:
--- a/packages/core/src/crowrudder_core/limits/_buckets.py
+++ b/packages/core/src/crowrudder_core/limits/_buckets.py
@@ -25,7 +25,7 @@
 
     rate: float
     burst: float
-    at: float = 0
+    refilled_at: float = 0
     tokens: float = field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -46,9 +46,9 @@
         return missing / self.rate if self.rate else float('inf')
 
     def _refill(self, now: float) -> None:
-        elapsed_s = max(now - self.at, 0.0)
+        elapsed_s = max(now - self.refilled_at, 0.0)
         self.tokens = min(self.burst, self.tokens + elapsed_s * self.rate)
-        self.at = max(now, self.at)
+        self.refilled_at = max(now, self.refilled_at)
 
 
 INITIAL_RETRIES = 1.0
--- a/packages/core/src/crowrudder_core/limits/_concurrency.py
+++ b/packages/core/src/crowrudder_core/limits/_concurrency.py
@@ -21,21 +21,21 @@
 
     Example
     -------
-    >>> shares = ConcurrencyShares(most=10)
+    >>> shares = ConcurrencyShares(max_requests=10)
     >>> shares.enter('large', share=0.5)
     True
     """
 
-    most: int
+    max_requests: int
     _in_progress: Counter[str] = field(factory=Counter, init=False)
     _total: int = field(default=0, init=False)
 
     def enter(self, customer: str, *, share: float) -> bool:
         """Count a request in; return whether there was capacity for it."""
-        if self._total >= self.most:
+        if self._total >= self.max_requests:
             return False
-        if self._total >= CROWDED_OCCUPANCY * self.most:
-            guaranteed = max(share, MIN_SHARE) * self.most
+        if self._total >= CROWDED_OCCUPANCY * self.max_requests:
+            guaranteed = max(share, MIN_SHARE) * self.max_requests
             if self._in_progress[customer] >= guaranteed:
                 return False
         self._in_progress[customer] += 1
--- a/packages/core/src/crowrudder_core/limits/_shared_budget.py
+++ b/packages/core/src/crowrudder_core/limits/_shared_budget.py
@@ -55,20 +55,20 @@
         """Count a request."""
         self._window(service, now).firsts.append(now)
 
-    def take(self, service: str, *, part: float, now: float) -> bool:
+    def take(self, service: str, *, entry_share: float, now: float) -> bool:
         """Spend one further arrival; return whether this entry's share had it.
 
-        ``part`` is this entry's share of what all entries may do, 0 to 1.
+        ``entry_share`` is this entry's share of what all entries may do, 0 to 1.
         """
-        if not self.has(service, part=part, now=now):
+        if not self.has(service, entry_share=entry_share, now=now):
             return False
         self._window(service, now).repeats.append(now)
         return True
 
-    def has(self, service: str, *, part: float, now: float) -> bool:
+    def has(self, service: str, *, entry_share: float, now: float) -> bool:
         """Return whether one further arrival could be spent."""
         window = self._window(service, now)
-        allowed = self.share * len(window.firsts) + self.extra * part
+        allowed = self.share * len(window.firsts) + self.extra * entry_share
         return len(window.repeats) + 1 <= SAFETY_FACTOR * allowed
 
     def _window(self, service: str, now: float) -> _Window:
--- a/packages/core/src/crowrudder_core/limits/_shared_rate.py
+++ b/packages/core/src/crowrudder_core/limits/_shared_rate.py
@@ -69,7 +69,7 @@
     -------
     >>> rate = SharedRate(per_s=1.0, stated_at=0.0)
     >>> rate.set_share(0.5, now=0.0)
-    >>> rate.has_room(now=1.0), rate.has_room(now=2.0)
+    >>> rate.has_capacity(now=1.0), rate.has_capacity(now=2.0)
     (False, True)
     """
 
@@ -79,7 +79,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Start without saved-up requests."""
-        self._bucket = TokenBucket(rate=0, burst=1, at=self.stated_at)
+        self._bucket = TokenBucket(rate=0, burst=1, refilled_at=self.stated_at)
         self._bucket.tokens = 0
 
     def is_expired(self, now: float) -> bool:
@@ -100,7 +100,7 @@
                 share * (BURST_REQUESTS + BURST_S * per_s), 1
             )
 
-    def has_room(self, *, now: float) -> bool:
+    def has_capacity(self, *, now: float) -> bool:
         """Return whether a request could be sent now."""
         return self._bucket.wait_s(1, now=now) <= 0
 
--- a/packages/core/src/crowrudder_core/limits/_stated_limits.py
+++ b/packages/core/src/crowrudder_core/limits/_stated_limits.py
@@ -8,7 +8,7 @@
 from attrs import define, field
 
 from crowrudder_core.limits._shared_rate import SharedRate
-from crowrudder_model.messages import LimitWord
+from crowrudder_model.messages import LimitReport
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -64,14 +64,18 @@
 
     def on_answer(
         self, upstream_id: str, per_s: float | None, *, now: float
-    ) -> LimitWord | None:
+    ) -> LimitReport | None:
         """Apply an answer's limit; return the report for other entries."""
         if per_s is None and upstream_id not in self._limits:
             return None
-        report = LimitWord(upstream_id, NO_LIMIT if per_s is None else per_s, 0)
-        return self.on_word(report, now=now)
+        report = LimitReport(
+            upstream_id, NO_LIMIT if per_s is None else per_s, 0
+        )
+        return self.on_report(report, now=now)
 
-    def on_word(self, report: LimitWord, *, now: float) -> LimitWord | None:
+    def on_report(
+        self, report: LimitReport, *, now: float
+    ) -> LimitReport | None:
         """Apply another entry's report; return it if it is to be sent on."""
         if not math.isfinite(report.per_s) or report.age_ms < 0:
             return None
@@ -90,10 +94,10 @@
         known.rate.per_s, known.rate.stated_at = report.per_s, stated_at
         return report if self._should_send(known, now) else None
 
-    def has_room(self, upstream_id: str, *, now: float) -> bool:
+    def has_capacity(self, upstream_id: str, *, now: float) -> bool:
         """Return whether a request may be sent to an upstream now."""
         rate = self._rate(upstream_id, now)
-        return rate is None or rate.has_room(now=now)
+        return rate is None or rate.has_capacity(now=now)
 
     def take(self, upstream_id: str, *, now: float) -> bool:
         """Spend a request; return whether the limit, if any, allows it."""
--- a/packages/core/src/crowrudder_core/membership/__init__.py
+++ b/packages/core/src/crowrudder_core/membership/__init__.py
@@ -2,33 +2,33 @@
 
 from crowrudder_core.membership._list import DeltaError, MemberList
 from crowrudder_core.membership._neighbours import NEIGHBOURS, neighbours_of
+from crowrudder_core.membership._own_status import OwnStatus
 from crowrudder_core.membership._partners import (
     CONTACTS,
-    NEWS_PARTNERS,
+    UPDATE_PARTNERS,
     close_entries,
     contacts,
-    drawn,
     partners,
     relays,
+    sample_ips,
     split_by_region,
 )
 from crowrudder_core.membership._roster import Roster
-from crowrudder_core.membership._view import Heard, MembershipView
-from crowrudder_core.membership._word import OwnWord
+from crowrudder_core.membership._view import MembershipView, UpdateResult
 
 __all__ = (
     'NEIGHBOURS',
     'CONTACTS',
-    'NEWS_PARTNERS',
+    'UPDATE_PARTNERS',
     'DeltaError',
-    'Heard',
+    'UpdateResult',
     'MemberList',
     'MembershipView',
-    'OwnWord',
+    'OwnStatus',
     'Roster',
     'close_entries',
     'contacts',
-    'drawn',
+    'sample_ips',
     'neighbours_of',
     'partners',
     'relays',
--- a/packages/core/src/crowrudder_core/membership/_list.py
+++ b/packages/core/src/crowrudder_core/membership/_list.py
@@ -9,7 +9,7 @@
 from attrs import define, field, frozen
 
 from crowrudder_model import CrowrudderError, InvariantError
-from crowrudder_model.messages import ListEdition, MembersDelta
+from crowrudder_model.messages import MemberListDelta, MemberListEdition
 
 if TYPE_CHECKING:
     from crowrudder_model import Member
@@ -48,7 +48,7 @@
     """
 
     members: Members = ()
-    edition: ListEdition = field(factory=ListEdition)
+    edition: MemberListEdition = field(factory=MemberListEdition)
     _retained: dict[str, Members] = field(factory=dict)
     _lower: _LowerRevision | None = None
 
@@ -64,11 +64,13 @@
             )
         self._lower = None
         return self.offer(
-            ListEdition(epoch=known.epoch, revision=revision, digest=digest),
+            MemberListEdition(
+                epoch=known.epoch, revision=revision, digest=digest
+            ),
             ordered,
         )
 
-    def on_same(self, now: float) -> bool:
+    def on_unchanged(self, now: float) -> bool:
         """Record that the platform reports no change since its last answer.
 
         Return whether a lower revision was thereby confirmed and is now in use.
@@ -78,7 +80,7 @@
             return False
         self._lower = None
         return self.offer(
-            ListEdition(
+            MemberListEdition(
                 epoch=self.edition.epoch + 1,
                 revision=lower.revision,
                 digest=digest_of(lower.members),
@@ -86,7 +88,7 @@
             lower.members,
         )
 
-    def offer(self, edition: ListEdition, members: Members) -> bool:
+    def offer(self, edition: MemberListEdition, members: Members) -> bool:
         """Apply a list from any source if it is newer; return whether it is."""
         if edition <= self.edition:
             return False
@@ -102,21 +104,21 @@
             )
         return True
 
-    def delta_from(self, digest: str) -> MembersDelta | None:
+    def delta_from(self, digest: str) -> MemberListDelta | None:
         """Return the delta from the list that a peer has, None if it is unknown."""
         base = self._retained.get(digest)
         return None if base is None else _delta(base, self.members)
 
-    def whole(self) -> MembersDelta:
+    def whole(self) -> MemberListDelta:
         """Return the complete list as a delta."""
-        return MembersDelta(put=self.members)
+        return MemberListDelta(put=self.members)
 
     def applied(
         self,
-        delta: MembersDelta,
+        delta: MemberListDelta,
         *,
         base: str,
-        edition: ListEdition,
+        edition: MemberListEdition,
     ) -> Members:
         """Return the list that results from a peer's delta.
 
@@ -144,7 +146,7 @@
         if known is None or known.revision != lower.revision:
             self._lower = lower
             return False
-        return self.on_same(lower.since)
+        return self.on_unchanged(lower.since)
 
 
 def in_order(members: Members) -> Members:
@@ -157,10 +159,10 @@
     return xxhash.xxh3_64_hexdigest(msgspec.msgpack.encode(members))
 
 
-def _delta(before: Members, after: Members) -> MembersDelta:
+def _delta(before: Members, after: Members) -> MemberListDelta:
     known = frozenset(before)
     present = {member.host for member in after}
-    return MembersDelta(
+    return MemberListDelta(
         put=tuple(member for member in after if member not in known),
         dropped=tuple(
             member.host for member in before if member.host not in present
--- a/packages/core/src/crowrudder_core/membership/_word.py
+++ b/packages/core/src/crowrudder_core/membership/_own_status.py
@@ -4,11 +4,11 @@
 
 from attrs import define
 
-from crowrudder_model.messages import ProcessNews, ProcessState
+from crowrudder_model.messages import ProcessState, ProcessStatus
 
 
 @define
-class OwnWord:
+class OwnStatus:
     """Status of this process, which overrides what peers report of it.
 
     It prevents two faults. A replaced host whose clock is behind reports `live`
@@ -25,7 +25,7 @@
     address: str
     beat: int
     is_leaving: bool = False
-    rival_status: ProcessNews | None = None
+    rival_status: ProcessStatus | None = None
     listed_address: str = ''
 
     @property
@@ -39,13 +39,13 @@
         return 'leaving' if self.is_leaving or self.has_yielded else 'live'
 
     @property
-    def news(self) -> ProcessNews:
+    def news(self) -> ProcessStatus:
         """Status as it is sent.
 
         A process that yields doesn't contradict the other incarnation: its
         sequence number is one that the other has exceeded.
         """
-        return ProcessNews(
+        return ProcessStatus(
             host=self.host,
             incarnation=self.incarnation,
             beat=self.beat,
@@ -57,7 +57,7 @@
         self.is_leaving = True
         self.beat += 1
 
-    def on_listed(self, address: str) -> bool:
+    def on_address_listed(self, address: str) -> bool:
         """Apply the listed address of this host, empty if it isn't listed.
 
         Return whether the status changed.
@@ -67,7 +67,7 @@
         self._resolve_rival()
         return self.news != before
 
-    def on_heard(self, news: ProcessNews) -> bool:
+    def on_status_received(self, news: ProcessStatus) -> bool:
         """Apply a status of this host from a peer; return whether the own changed."""
         before = self.news
         if news.beat < self.beat or self._matches_own(news):
@@ -88,6 +88,6 @@
             self.beat = max(self.beat, self.rival_status.beat) + 1
             self.rival_status = None
 
-    def _matches_own(self, news: ProcessNews) -> bool:
+    def _matches_own(self, news: ProcessStatus) -> bool:
         own = (self.incarnation, self.beat, self.state)
         return own == (news.incarnation, news.beat, news.state)
--- a/packages/core/src/crowrudder_core/membership/_partners.py
+++ b/packages/core/src/crowrudder_core/membership/_partners.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from crowrudder_model.messages import MemberWord
+    from crowrudder_model.messages import MemberStatus
 
 PARTNERS = 7
 """Entries to which an entry sends a heartbeat, sampled anew each time.
@@ -25,7 +25,7 @@
 regions is scarce and billed, and each region has many entries that sample.
 """
 
-NEWS_PARTNERS = 4
+UPDATE_PARTNERS = 4
 """Entries of the own region that are sent an update at once.
 
 Each forwards it once, so that four in a hundred miss it; these receive it by
@@ -61,7 +61,7 @@
 
 
 def split_by_region(
-    words: list[MemberWord], region: str
+    words: list[MemberStatus], region: str
 ) -> tuple[list[str], list[str]]:
     """Return the IP addresses of the own region and of all others."""
     near = [word.ip for word in words if word.region == region]
@@ -75,16 +75,16 @@
     """Sample the heartbeat recipients in the own region and in others."""
     if len(near) + len(far) <= PARTNERS:
         return near, far
-    chosen = drawn(near, PARTNERS - 1, random)
-    return chosen, drawn(far, PARTNERS - len(chosen), random)
+    chosen = sample_ips(near, PARTNERS - 1, random)
+    return chosen, sample_ips(far, PARTNERS - len(chosen), random)
 
 
-def drawn(ips: list[str], count: int, random: Random) -> list[str]:
+def sample_ips(ips: list[str], count: int, random: Random) -> list[str]:
     """Return a random sample of the addresses, or all if there are no more."""
     return ips if len(ips) <= count else random.sample(ips, count)
 
 
-def contacts(own: str, words: list[MemberWord], region: str) -> list[str]:
+def contacts(own: str, words: list[MemberStatus], region: str) -> list[str]:
     """Return the entries with which an agent stays in contact.
 
     The choice is stable while they live, and spread over the entries of the
@@ -104,7 +104,7 @@
     return order[:CLOSE_ENTRIES], order[CLOSE_ENTRIES:]
 
 
-def relays(words: list[MemberWord], region: str) -> list[str]:
+def relays(words: list[MemberStatus], region: str) -> list[str]:
     """Return the entries of a region that relay statuses for all of it."""
     near, _ = split_by_region(words, region)
     return ranked(f'relay|{region}', near)[:RELAYS]
--- a/packages/core/src/crowrudder_core/membership/_roster.py
+++ b/packages/core/src/crowrudder_core/membership/_roster.py
@@ -9,10 +9,10 @@
 
 from crowrudder_core.membership._partners import hops
 from crowrudder_model.messages import (
-    HeardWord,
-    MemberWord,
-    Sighting,
-    life_of,
+    ForwardedStatus,
+    LastSeen,
+    MemberStatus,
+    incarnation_hash,
 )
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
 
 @define
 class _StatusRecord:
-    word: MemberWord
+    word: MemberStatus
     last_seen_at: float
 
 
@@ -61,10 +61,12 @@
     it is forwarded.
     """
 
-    own: MemberWord
+    own: MemberStatus
     _others: dict[str, _StatusRecord] = field(factory=dict)
 
-    def on_word(self, word: MemberWord, age_s: float, *, now: float) -> bool:
+    def on_status(
+        self, word: MemberStatus, age_s: float, *, now: float
+    ) -> bool:
         """Apply a status; return whether the process was unknown."""
         if word.ip == self.own.ip and word.role == self.own.role:
             return False
@@ -77,7 +79,7 @@
         self._others[word.ip] = _StatusRecord(word, last_seen_at)
         return known is None
 
-    def on_sighting(self, sighting: Sighting, *, now: float) -> bool:
+    def on_last_seen(self, sighting: LastSeen, *, now: float) -> bool:
         """Apply a last-seen entry; return whether the full status is to be requested.
 
         This is so if the status is unknown here, because the entry is new or
@@ -87,7 +89,7 @@
             return False
         last_seen_at = now - max(sighting.age_ms, 0) / _MS
         known = self._others.get(sighting.ip)
-        if known is None or life_of(known.word) != sighting.life:
+        if known is None or incarnation_hash(known.word) != sighting.life:
             is_later = known is None or last_seen_at > known.last_seen_at
             return is_later and now - last_seen_at <= self._liveness_timeout_s
         if last_seen_at > known.last_seen_at:
@@ -97,9 +99,9 @@
             self._others[sighting.ip] = _StatusRecord(word, last_seen_at)
         return False
 
-    def sightings(
+    def last_seen_entries(
         self, random: Random, *, now: float, region: str | None = None
-    ) -> tuple[Sighting, ...]:
+    ) -> tuple[LastSeen, ...]:
         """Return a sample of last-seen entries of live entries, or of a region's."""
         live = [
             record
@@ -109,12 +111,12 @@
         sampled = random.sample(live, min(len(live), MAX_LAST_SEEN))
         return tuple(_last_seen_entry(record, now) for record in sampled)
 
-    def entries(self, *, now: float) -> list[MemberWord]:
+    def entries(self, *, now: float) -> list[MemberStatus]:
         """Return the live entries, including the own process."""
         live = [record.word for record in self._live(now)]
         return [self.own, *live] if self.own.role == 'entry' else live
 
-    def known(self, *, now: float) -> list[MemberWord]:
+    def known(self, *, now: float) -> list[MemberStatus]:
         """Return all other entries that haven't expired, live or not."""
         self._others = {
             ip: record
@@ -135,14 +137,14 @@
         """
         return 1 / (len(self.known(now=now)) + 1)
 
-    def to_pass_on(
+    def statuses_to_forward(
         self, random: Random, *, now: float
-    ) -> tuple[HeardWord, ...]:
+    ) -> tuple[ForwardedStatus, ...]:
         """Return a random sample of live statuses for a heartbeat."""
         live = self._live(now)
         sampled = random.sample(live, min(len(live), MAX_FORWARDED))
         return tuple(
-            HeardWord(record.word, now - record.last_seen_at)
+            ForwardedStatus(record.word, now - record.last_seen_at)
             for record in sampled
         )
 
@@ -165,11 +167,11 @@
         return self.own != before
 
 
-def _last_seen_entry(record: _StatusRecord, now: float) -> Sighting:
+def _last_seen_entry(record: _StatusRecord, now: float) -> LastSeen:
     word = record.word
-    return Sighting(
+    return LastSeen(
         ip=word.ip,
-        life=life_of(word),
+        life=incarnation_hash(word),
         age_ms=int(max(now - record.last_seen_at, 0) * _MS),
         ready=word.ready,
         leaving=word.leaving,
@@ -177,7 +179,7 @@
 
 
 def _supersedes(
-    word: MemberWord, last_seen_at: float, known: _StatusRecord
+    word: MemberStatus, last_seen_at: float, known: _StatusRecord
 ) -> bool:
     if word.incarnation != known.word.incarnation:
         return word.started_at > known.word.started_at
--- a/packages/core/src/crowrudder_core/membership/_view.py
+++ b/packages/core/src/crowrudder_core/membership/_view.py
@@ -8,11 +8,11 @@
 from attrs import define, field, frozen
 
 from crowrudder_core.membership._list import MemberList
-from crowrudder_model.messages import ProcessNews
+from crowrudder_model.messages import ProcessStatus
 
 if TYPE_CHECKING:
     from crowrudder_core.membership._list import Members
-    from crowrudder_core.membership._word import OwnWord
+    from crowrudder_core.membership._own_status import OwnStatus
     from crowrudder_model import Member
 
 FAILURES_TO_SUSPECT = 2
@@ -27,21 +27,21 @@
 
 
 @frozen(kw_only=True)
-class Heard:
+class UpdateResult:
     """Effect of a status update on the view.
 
-    ``is_new`` tells that the view changed, ``urgent`` that others are to be
+    ``has_changed`` tells that the view changed, ``is_urgent`` that others are to be
     notified at once: a leaving process must get no new work. Suspicions wait
     for the next exchange, because a broken link causes hundreds of them.
     """
 
-    is_new: bool = False
-    urgent: bool = False
+    has_changed: bool = False
+    is_urgent: bool = False
 
 
 @define
 class _StatusRecord:
-    news: ProcessNews
+    news: ProcessStatus
     send_count: int = 0
 
 
@@ -56,7 +56,7 @@
     itself ends it.
     """
 
-    own: OwnWord
+    own: OwnStatus
     published: MemberList = field(factory=MemberList)
     _records: dict[str, _StatusRecord] = field(factory=dict)
     _failure_counts: dict[str, int] = field(factory=dict)
@@ -85,29 +85,31 @@
             ),
             '',
         )
-        return self.own.on_listed(own)
+        return self.own.on_address_listed(own)
 
-    def on_news(self, news: ProcessNews) -> Heard:
+    def on_update(self, news: ProcessStatus) -> UpdateResult:
         """Apply a status of this process or of a peer."""
         if news.host == self.own.host:
             before = self.own.state
-            changed = self.own.on_heard(news)
-            return Heard(is_new=changed, urgent=before != self.own.state)
+            changed = self.own.on_status_received(news)
+            return UpdateResult(
+                has_changed=changed, is_urgent=before != self.own.state
+            )
         known = self._records.get(news.host)
         if known is not None and not _supersedes(news, known.news):
-            return Heard()
+            return UpdateResult()
         states = {known.news.state if known else 'live', news.state}
         self._record(news)
-        return Heard(
-            is_new=len(states) > 1,
-            urgent=len(states) > 1 and 'leaving' in states,
+        return UpdateResult(
+            has_changed=len(states) > 1,
+            is_urgent=len(states) > 1 and 'leaving' in states,
         )
 
     def on_call_answered(self, host: str) -> None:
         """Record that a host answered a call of this process."""
         self._failure_counts.pop(host, None)
 
-    def on_call_failed(self, host: str) -> Heard:
+    def on_call_failed(self, host: str) -> UpdateResult:
         """Record a failed call; consecutive failures raise a suspicion."""
         failures = self._failure_counts.get(host, 0) + 1
         self._failure_counts[host] = failures
@@ -115,19 +117,19 @@
         if failures < FAILURES_TO_SUSPECT or (
             known and known.news.state != 'live'
         ):
-            return Heard()
+            return UpdateResult()
         status = known.news if known else None
         self._record(
-            ProcessNews(
+            ProcessStatus(
                 host=host,
                 incarnation=status.incarnation if status else '',
                 beat=status.beat if status else 0,
                 state='suspect',
             )
         )
-        return Heard(is_new=True)
+        return UpdateResult(has_changed=True)
 
-    def to_tell(self, peer: str) -> tuple[ProcessNews, ...]:
+    def updates_for(self, peer: str) -> tuple[ProcessStatus, ...]:
         """Return the statuses for a message to a peer, and count them as sent.
 
         A suspicion or leaving state of the peer itself is always included, so
@@ -159,7 +161,7 @@
         )
         return sorted(pending, key=lambda record: record.send_count)[:count]
 
-    def _record(self, news: ProcessNews) -> None:
+    def _record(self, news: ProcessStatus) -> None:
         self._records.pop(news.host, None)
         self._records[news.host] = _StatusRecord(news)
         if len(self._records) > MAX_STATUSES:
@@ -182,7 +184,7 @@
         return attrs.evolve(member, state='leaving')
 
 
-def _supersedes(news: ProcessNews, known: ProcessNews) -> bool:
+def _supersedes(news: ProcessStatus, known: ProcessStatus) -> bool:
     """Return whether a status is newer, or more severe with an equal number."""
     if news.beat != known.beat:
         return news.beat > known.beat
--- a/packages/core/src/crowrudder_core/orders/__init__.py
+++ b/packages/core/src/crowrudder_core/orders/__init__.py
@@ -4,9 +4,9 @@
 from crowrudder_core.orders._orders import (
     EngineOrders,
     EngineRead,
-    GiveOrder,
     Loaded,
     Outdated,
+    SendOrder,
     Target,
 )
 
@@ -14,7 +14,7 @@
     'EngineOrders',
     'EngineRead',
     'FencingNumber',
-    'GiveOrder',
+    'SendOrder',
     'Loaded',
     'Outdated',
     'Target',
--- a/packages/core/src/crowrudder_core/orders/_orders.py
+++ b/packages/core/src/crowrudder_core/orders/_orders.py
@@ -41,7 +41,7 @@
 
 
 @frozen(kw_only=True)
-class GiveOrder:
+class SendOrder:
     """Order the target with this fencing number."""
 
     fence: int
@@ -65,7 +65,7 @@
         self,
         read: EngineRead,
         target: Target,
-    ) -> Loaded | Outdated | GiveOrder:
+    ) -> Loaded | Outdated | SendOrder:
         """Decide what to do after reading the engine's state."""
         self.seen = max(self.seen, FencingNumber.unpack(read.fence))
         first = FencingNumber.first_of(target.generation, target.digest)
@@ -77,7 +77,7 @@
         if number.configuration != first.configuration or number < self.seen:
             raise InvariantError('a fencing number decreased', step='order')
         self.seen = number
-        return GiveOrder(fence=number.packed)
+        return SendOrder(fence=number.packed)
 
     @staticmethod
     def confirms(read: EngineRead, target: Target) -> bool:
--- a/packages/core/src/crowrudder_core/quarantine/__init__.py
+++ b/packages/core/src/crowrudder_core/quarantine/__init__.py
@@ -3,19 +3,19 @@
 from crowrudder_core.quarantine._digest import digest_text, request_digest
 from crowrudder_core.quarantine._quarantine import (
     Audience,
-    Convicted,
     Effect,
     Quarantine,
-    Tell,
+    Quarantined,
+    SendSuspicion,
     owners,
 )
 
 __all__ = (
     'Audience',
-    'Convicted',
+    'Quarantined',
     'Effect',
     'Quarantine',
-    'Tell',
+    'SendSuspicion',
     'digest_text',
     'owners',
     'request_digest',
--- a/packages/core/src/crowrudder_core/quarantine/_ledger.py
+++ b/packages/core/src/crowrudder_core/quarantine/_ledger.py
@@ -31,19 +31,21 @@
             return None
         return suspect
 
-    def take(self, digest: int, *, now: float) -> Suspect:
+    def get_or_create(self, digest: int, *, now: float) -> Suspect:
         """Return the suspect record of a request, created if absent."""
         suspect = self.get(digest, now=now)
         if suspect is None:
             suspect = Suspect()
             self._suspects[digest] = suspect
         self._suspects.move_to_end(digest)
-        suspect.on_whole(self._completed_at.get(digest, suspect.completed_at))
+        suspect.on_run_completed(
+            self._completed_at.get(digest, suspect.completed_at)
+        )
         if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.pop(self._to_evict())
         return suspect
 
-    def on_whole(self, digest: int, *, now: float) -> Suspect | None:
+    def on_run_completed(self, digest: int, *, now: float) -> Suspect | None:
         """Record a completed run; return the suspect that it clears, if any."""
         self._completed_at[digest] = now
         self._completed_at.move_to_end(digest)
@@ -51,7 +53,7 @@
             self._completed_at.popitem(last=False)
         suspect = self.get(digest, now=now)
         if suspect is not None:
-            suspect.on_whole(now)
+            suspect.on_run_completed(now)
         return suspect
 
     def suspects(self, *, now: float) -> dict[int, Suspect]:
@@ -71,7 +73,7 @@
             (
                 digest
                 for digest, suspect in self._suspects.items()
-                if not suspect.is_convicted
+                if not suspect.is_quarantined
             ),
             next(iter(self._suspects)),
         )
--- a/packages/core/src/crowrudder_core/quarantine/_quarantine.py
+++ b/packages/core/src/crowrudder_core/quarantine/_quarantine.py
@@ -20,12 +20,12 @@
     from collections.abc import Iterable
     from random import Random
 
-    from crowrudder_model.messages import SuspectNews, SuspectWord
+    from crowrudder_model.messages import SuspicionReport, SuspicionUpdate
 
 OWNER_COUNT = 2
 """Entries that add up the reports on a request; one of them may fail."""
 
-MOST_WORDS = 8
+MAX_REPORTS = 8
 """Maximum number of suspicion reports in one datagram."""
 
 
@@ -37,22 +37,22 @@
 
 
 @frozen
-class Tell:
+class SendSuspicion:
     """Send a suspicion report on a request to other entries."""
 
-    word: SuspectWord
+    word: SuspicionReport
     audience: Audience
 
 
 @frozen
-class Convicted:
+class Quarantined:
     """A request is quarantined: it is sent to no upstream any more."""
 
     digest: int
     lives: tuple[str, ...]
 
 
-Effect = Tell | Convicted
+Effect = SendSuspicion | Quarantined
 
 
 @define
@@ -67,28 +67,28 @@
     _ledger: SuspectLedger = field(factory=SuspectLedger)
     _unconfirmed: UnconfirmedEnds = field(factory=UnconfirmedEnds)
 
-    def is_convicted(self, digest: int, *, now: float) -> bool:
+    def is_quarantined(self, digest: int, *, now: float) -> bool:
         """Return whether a request is to be refused."""
         suspect = self._ledger.get(digest, now=now)
-        return suspect is not None and suspect.is_convicted
+        return suspect is not None and suspect.is_quarantined
 
-    def lives_under(self, digest: int, *, now: float) -> tuple[str, ...]:
+    def ended_incarnations(self, digest: int, *, now: float) -> tuple[str, ...]:
         """Return the upstream incarnations that ended under a request."""
         suspect = self._ledger.get(digest, now=now)
         return tuple(suspect.ends) if suspect else ()
 
-    def may_send_again(self, digest: int, *, now: float) -> bool:
+    def may_retry(self, digest: int, *, now: float) -> bool:
         """Return whether the request may be retried at another upstream.
 
         Closed connections count as well before their cause is known.
         """
         suspect = self._ledger.get(digest, now=now)
         known = suspect.ends if suspect else {}
-        unconfirmed = self._unconfirmed.lives_under(digest, now=now)
+        unconfirmed = self._unconfirmed.ended_incarnations(digest, now=now)
         weight = suspect.weight if suspect else 0
         return weight + len(unconfirmed - known.keys()) < QUARANTINE_THRESHOLD
 
-    def on_broken(
+    def on_connection_closed(
         self,
         digest: int,
         incarnations: Iterable[str],
@@ -98,53 +98,55 @@
     ) -> None:
         """Record a run whose connection was closed by its upstream."""
         for incarnation in incarnations:
-            self._unconfirmed.on_broken(
+            self._unconfirmed.on_connection_closed(
                 digest, incarnation, ran_s=ran_s, now=now
             )
 
-    def on_sound(self, incarnation: str, *, as_of: float) -> None:
+    def on_upstream_alive(self, incarnation: str, *, as_of: float) -> None:
         """Record that an upstream incarnation is alive."""
-        self._unconfirmed.on_sound(incarnation, as_of=as_of)
+        self._unconfirmed.on_upstream_alive(incarnation, as_of=as_of)
 
     def on_ended(self, incarnation: str, *, now: float) -> list[Effect]:
         """Record that an upstream incarnation ended."""
         effects: list[Effect] = []
         for digest, end in self._unconfirmed.on_ended(incarnation, now=now):
-            suspect = self._ledger.take(digest, now=now)
+            suspect = self._ledger.get_or_create(digest, now=now)
             before = suspect.weight
             suspect.on_end(incarnation, end)
             effects += _effects(digest, suspect, before, now)
         return effects
 
-    def on_whole(self, digest: int, *, now: float) -> list[Effect]:
+    def on_run_completed(self, digest: int, *, now: float) -> list[Effect]:
         """Record a completed run, which clears the request."""
         suspect = self._ledger.get(digest, now=now)
         before = suspect.weight if suspect else 0
-        cleared = self._ledger.on_whole(digest, now=now)
+        cleared = self._ledger.on_run_completed(digest, now=now)
         if cleared is None or not before:
             return []
         return _effects(digest, cleared, before, now)
 
     def on_refused(self, digest: int, *, now: float) -> None:
         """Record that a quarantined request arrived again and was refused."""
-        self._ledger.take(digest, now=now).refused_at = now
+        self._ledger.get_or_create(digest, now=now).refused_at = now
 
-    def on_news(self, news: SuspectNews, *, now: float) -> list[Effect]:
+    def on_update(self, news: SuspicionUpdate, *, now: float) -> list[Effect]:
         """Apply reports of another entry; forward those that change the weight."""
         effects: list[Effect] = []
-        for word in news.words[:MOST_WORDS]:
-            suspect = self._ledger.take(word.digest, now=now)
+        for word in news.words[:MAX_REPORTS]:
+            suspect = self._ledger.get_or_create(word.digest, now=now)
             reported = Suspect()
-            reported.on_word(word, now=now)
+            reported.on_report(word, now=now)
             before = suspect.weight
-            has_changed = suspect.on_word(word, now=now)
+            has_changed = suspect.on_report(word, now=now)
             if not has_changed and reported.weight > suspect.weight:
                 # The sender lacks a completed run that is known here.
                 before = reported.weight
             effects += _effects(word.digest, suspect, before, now)
         return [each for each in effects if not _is_for_owners(each)]
 
-    def reminder(self, random: Random, *, now: float) -> list[SuspectWord]:
+    def sample_reports(
+        self, random: Random, *, now: float
+    ) -> list[SuspicionReport]:
         """Return a random sample of the reports that all entries need.
 
         It serves entries that start or that missed an update.
@@ -155,7 +157,7 @@
             if suspect.weight >= SHARING_THRESHOLD
         ]
         sampled = random.sample(
-            shared_suspects, min(len(shared_suspects), MOST_WORDS)
+            shared_suspects, min(len(shared_suspects), MAX_REPORTS)
         )
         return [suspect.word(digest, now=now) for digest, suspect in sampled]
 
@@ -173,11 +175,15 @@
         return []
     is_for_partners = max(weight, before) >= SHARING_THRESHOLD
     audience = Audience.PARTNERS if is_for_partners else Audience.OWNERS
-    effects: list[Effect] = [Tell(suspect.word(digest, now=now), audience)]
+    effects: list[Effect] = [
+        SendSuspicion(suspect.word(digest, now=now), audience)
+    ]
     if before < QUARANTINE_THRESHOLD <= weight:
-        effects.append(Convicted(digest, tuple(suspect.ends)))
+        effects.append(Quarantined(digest, tuple(suspect.ends)))
     return effects
 
 
 def _is_for_owners(effect: Effect) -> bool:
-    return isinstance(effect, Tell) and effect.audience is Audience.OWNERS
+    return (
+        isinstance(effect, SendSuspicion) and effect.audience is Audience.OWNERS
+    )
--- a/packages/core/src/crowrudder_core/quarantine/_suspect.py
+++ b/packages/core/src/crowrudder_core/quarantine/_suspect.py
@@ -6,7 +6,7 @@
 
 from attrs import define, field, frozen
 
-from crowrudder_model.messages import LifeEnd, SuspectWord
+from crowrudder_model.messages import IncarnationEnd, SuspicionReport
 
 QUARANTINE_THRESHOLD = 3.0
 """Total weight of ends from which a request is quarantined."""
@@ -30,7 +30,7 @@
 QUARANTINE_S = 600.0
 """How long quarantine lasts after the last end or refusal, whichever is later."""
 
-MOST_ENDS = 8
+MAX_ENDS = 8
 """Maximum number of ends per request; six of the lowest weight quarantine it."""
 
 MAX_INCARNATION_CHARS = 64
@@ -71,14 +71,14 @@
         return sum(end.weight for end in self._counted())
 
     @property
-    def is_convicted(self) -> bool:
+    def is_quarantined(self) -> bool:
         """Whether the request is quarantined."""
         return self.weight >= QUARANTINE_THRESHOLD
 
     def is_expired(self, now: float) -> bool:
         """Return whether nothing in the record counts any more."""
         last = max((end.at for end in self._counted()), default=-math.inf)
-        if self.is_convicted:
+        if self.is_quarantined:
             return now - max(last, self.refused_at) > QUARANTINE_S
         return now - last > SUSPICION_S
 
@@ -86,14 +86,14 @@
         """Record the end of an upstream; return whether it is new."""
         known = self.ends.get(life)
         if known is None:
-            is_new = len(self.ends) < MOST_ENDS
+            is_new = len(self.ends) < MAX_ENDS
         else:
             is_new = end.is_fresh and not known.is_fresh
         if is_new:
             self.ends[life] = end
         return is_new
 
-    def on_whole(self, at: float) -> None:
+    def on_run_completed(self, at: float) -> None:
         """Record a completed run and drop the ends that it clears."""
         self.completed_at = max(self.completed_at, at)
         self.ends = {
@@ -102,30 +102,30 @@
             if end.at > self.completed_at + COMPLETED_RUN_WINDOW_S
         }
 
-    def on_word(self, word: SuspectWord, *, now: float) -> bool:
+    def on_report(self, word: SuspicionReport, *, now: float) -> bool:
         """Merge another entry's report; return whether the weight changed."""
         before = self.weight
         if word.refused_ms >= 0:
             refused_at = now - word.refused_ms / _MS
             self.refused_at = max(self.refused_at, refused_at)
-        for received in word.ends[:MOST_ENDS]:
+        for received in word.ends[:MAX_ENDS]:
             if 0 <= received.ended_ms <= QUARANTINE_S * _MS:
                 end = End(now - received.ended_ms / _MS, received.is_fresh)
                 self.on_end(received.life[:MAX_INCARNATION_CHARS], end)
-        if word.whole_ms >= 0:
-            self.on_whole(now - word.whole_ms / _MS)
+        if word.completed_ms >= 0:
+            self.on_run_completed(now - word.completed_ms / _MS)
         return self.weight != before
 
-    def word(self, digest: int, *, now: float) -> SuspectWord:
+    def word(self, digest: int, *, now: float) -> SuspicionReport:
         """Return the report for other entries."""
         ends = tuple(
-            LifeEnd(incarnation, _age_ms(end.at, now), end.is_fresh)
+            IncarnationEnd(incarnation, _age_ms(end.at, now), end.is_fresh)
             for incarnation, end in self.ends.items()
         )
-        return SuspectWord(
+        return SuspicionReport(
             digest=digest,
             ends=ends,
-            whole_ms=_age_ms(self.completed_at, now),
+            completed_ms=_age_ms(self.completed_at, now),
             refused_ms=_age_ms(self.refused_at, now),
         )
 
--- a/packages/core/src/crowrudder_core/quarantine/_unconfirmed.py
+++ b/packages/core/src/crowrudder_core/quarantine/_unconfirmed.py
@@ -32,7 +32,7 @@
 
     _closed_runs: dict[str, list[_ClosedRun]] = field(factory=dict)
 
-    def on_broken(
+    def on_connection_closed(
         self, digest: int, incarnation: str, *, ran_s: float, now: float
     ) -> None:
         """Record a run whose connection the upstream closed."""
@@ -50,7 +50,7 @@
         closed_runs = self._closed_runs.pop(incarnation, [])
         return [(each.digest, each.end) for each in closed_runs]
 
-    def on_sound(self, incarnation: str, *, as_of: float) -> None:
+    def on_upstream_alive(self, incarnation: str, *, as_of: float) -> None:
         """Record that an upstream incarnation is alive, and clear its runs."""
         closed_runs = self._closed_runs.get(incarnation)
         if not closed_runs:
@@ -59,7 +59,7 @@
         if as_of - latest > ALIVE_AFTER_S:
             self._closed_runs.pop(incarnation)
 
-    def lives_under(self, digest: int, *, now: float) -> set[str]:
+    def ended_incarnations(self, digest: int, *, now: float) -> set[str]:
         """Return the incarnations that may have ended under a request."""
         if not self._closed_runs:
             return set()
--- a/packages/core/src/crowrudder_core/requests/__init__.py
+++ b/packages/core/src/crowrudder_core/requests/__init__.py
@@ -1,37 +1,37 @@
 """Requests: admission, at-most-once start and claims of request ids."""
 
 from crowrudder_core.requests._admission import (
-    Late,
+    DeadlineUnreachable,
     RunEstimate,
     SlotAdmission,
     Start,
 )
 from crowrudder_core.requests._claims import (
-    REMEMBER_S,
-    ClaimBook,
-    ClaimCount,
-    Vote,
+    CLAIM_RETENTION_S,
+    ClaimRegistry,
+    ClaimResult,
+    ClaimTally,
 )
 from crowrudder_core.requests._ledger import AgentLedger, Record, Stage
 from crowrudder_core.requests._owner import (
     Attach,
-    MoveOn,
     RequestOwner,
+    RetryElsewhere,
     Settle,
 )
 from crowrudder_core.requests._queue import AdmissionQueue, Waiting
-from crowrudder_core.requests._voters import Place, homes_of, quorum
+from crowrudder_core.requests._voters import VoterCandidate, quorum, voters_of
 
 __all__ = (
     'AdmissionQueue',
     'AgentLedger',
     'Attach',
-    'ClaimBook',
-    'ClaimCount',
-    'Late',
-    'MoveOn',
-    'Place',
-    'REMEMBER_S',
+    'ClaimRegistry',
+    'ClaimTally',
+    'DeadlineUnreachable',
+    'RetryElsewhere',
+    'VoterCandidate',
+    'CLAIM_RETENTION_S',
     'Record',
     'RequestOwner',
     'RunEstimate',
@@ -39,8 +39,8 @@
     'SlotAdmission',
     'Stage',
     'Start',
-    'Vote',
+    'ClaimResult',
     'Waiting',
-    'homes_of',
+    'voters_of',
     'quorum',
 )
--- a/packages/core/src/crowrudder_core/requests/_admission.py
+++ b/packages/core/src/crowrudder_core/requests/_admission.py
@@ -56,7 +56,7 @@
 
 
 @frozen
-class Late:
+class DeadlineUnreachable:
     """The attempt can't end before its deadline and gets no slot."""
 
     key: AttemptKey
@@ -93,7 +93,7 @@
         """Return whether an attempt occupies a slot."""
         return key in self._running
 
-    def in_time(self, item: Waiting, *, now: float) -> bool:
+    def can_meet_deadline(self, item: Waiting, *, now: float) -> bool:
         """Return whether an attempt that arrives now can meet its deadline."""
         wait_s = self.wait_s(item.customer, item.share)
         return now + wait_s + self._run_s(item) < item.deadline
@@ -102,7 +102,7 @@
         """Enqueue an attempt; return the one that a full queue drops, if any."""
         return self.queue.push(item)
 
-    def next(self, *, now: float) -> Start | Late | None:
+    def next(self, *, now: float) -> Start | DeadlineUnreachable | None:
         """Return the next step; None if no slot is free or no attempt waits."""
         if len(self._running) >= self.slots:
             return None
@@ -110,7 +110,7 @@
         if item is None:
             return None
         if now + self._run_s(item) >= item.deadline:
-            return Late(item.key)
+            return DeadlineUnreachable(item.key)
         self.queue.record_start(item, now=now)
         self._running.add(item.key)
         return Start(item.key)
--- a/packages/core/src/crowrudder_core/requests/_claims.py
+++ b/packages/core/src/crowrudder_core/requests/_claims.py
@@ -9,13 +9,13 @@
 
 from crowrudder_core.requests._voters import quorum
 from crowrudder_model.messages import (
-    ClaimAsk,
+    ClaimRequest,
     ClaimState,
     HeldClaim,
-    ReleaseAsk,
+    ReleaseRequest,
 )
 
-REMEMBER_S = 600.0
+CLAIM_RETENTION_S = 600.0
 """Time after a request's deadline during which its id may not run again."""
 
 MAX_CLAIMS = 200_000
@@ -31,7 +31,7 @@
 
 
 @define
-class ClaimBook:
+class ClaimRegistry:
     """The claims of request ids that one voter has granted.
 
     Invariant: until its record expires, an id is held by one owner, unless
@@ -39,8 +39,8 @@
 
     Example
     -------
-    >>> book = ClaimBook()
-    >>> request = ClaimAsk(request_id='r', owner='e1', serial=1, keep_s=9.0)
+    >>> book = ClaimRegistry()
+    >>> request = ClaimRequest(request_id='r', owner='e1', serial=1, keep_s=9.0)
     >>> book.claim(request, now=0.0)
     <ClaimState.GRANTED: 'granted'>
     >>> book.claim(evolve(request, owner='e2'), now=1.0)
@@ -55,7 +55,7 @@
         """Return the number of records."""
         return len(self._records)
 
-    def claim(self, request: ClaimAsk, *, now: float) -> ClaimState:
+    def claim(self, request: ClaimRequest, *, now: float) -> ClaimState:
         """Grant or reject a claim, or abstain."""
         known = self._known(request.request_id, now)
         if known is not None and not _may_replace(known, request):
@@ -71,7 +71,7 @@
         )
         return ClaimState.GRANTED
 
-    def release(self, request: ReleaseAsk, *, now: float) -> None:
+    def release(self, request: ReleaseRequest, *, now: float) -> None:
         """Release a claim and reject the same claim if it arrives afterwards.
 
         Messages may be reordered. Without the released record, a claim that
@@ -83,7 +83,7 @@
         self._records[request.request_id] = _ClaimRecord(
             owner=request.owner,
             serial=request.serial,
-            until=now + REMEMBER_S,
+            until=now + CLAIM_RETENTION_S,
             released=True,
         )
 
@@ -100,7 +100,7 @@
             if record.until > now and not record.released
         ]
 
-    def take_over(self, claims: Iterable[HeldClaim], *, now: float) -> int:
+    def import_claims(self, claims: Iterable[HeldClaim], *, now: float) -> int:
         """Import the claims of a leaving voter; return the number added.
 
         Existing claims stay unless they were released; their expiry is only
@@ -137,13 +137,13 @@
         return known if known is not None and known.until > now else None
 
 
-def _may_replace(known: _ClaimRecord, request: ClaimAsk) -> bool:
+def _may_replace(known: _ClaimRecord, request: ClaimRequest) -> bool:
     if known.released:
         return known.owner != request.owner or request.serial > known.serial
     return known.owner == request.owner and known.serial == request.serial
 
 
-def _may_release(known: _ClaimRecord, request: ReleaseAsk) -> bool:
+def _may_release(known: _ClaimRecord, request: ReleaseRequest) -> bool:
     """Return whether the release comes from the request that holds the id.
 
     A second request of the same owner is rejected, and its release must not
@@ -160,7 +160,7 @@
     return claim.owner != known.owner or claim.serial > known.serial
 
 
-class Vote(enum.Enum):
+class ClaimResult(enum.Enum):
     """Result of the tally of a claim."""
 
     OPEN = 'open'
@@ -173,50 +173,50 @@
 
 
 @define
-class ClaimCount:
+class ClaimTally:
     """Tally of the voters' answers on one claim.
 
     Example
     -------
-    >>> count = ClaimCount(('a', 'b'))
+    >>> count = ClaimTally(('a', 'b'))
     >>> count.take('a', ClaimState.GRANTED)
     <Vote.OPEN: 'open'>
     >>> count.take('b', ClaimState.GRANTED)
     <Vote.HELD: 'held'>
     """
 
-    homes: tuple[str, ...]
+    voters: tuple[str, ...]
     _answers: dict[str, ClaimState] = field(factory=dict, init=False)
 
-    def take(self, voter: str, state: ClaimState) -> Vote:
+    def take(self, voter: str, state: ClaimState) -> ClaimResult:
         """Record a voter's answer; a second one of the same voter is ignored."""
-        if voter in self.homes:
+        if voter in self.voters:
             self._answers.setdefault(voter, state)
         return self.vote
 
     @property
-    def vote(self) -> Vote:
+    def vote(self) -> ClaimResult:
         """Result of the answers received so far.
 
         A single voter that holds the id for another owner prevents the claim
         from being held: it may be the only one left with a record of a run.
         """
         answers = list(self._answers.values())
-        needed = quorum(len(self.homes))
+        needed = quorum(len(self.voters))
         taken = answers.count(ClaimState.TAKEN)
-        if self.homes and taken >= needed:
-            return Vote.TAKEN
-        if self.homes and not taken and self._granted >= needed:
-            return Vote.HELD
+        if self.voters and taken >= needed:
+            return ClaimResult.TAKEN
+        if self.voters and not taken and self._granted >= needed:
+            return ClaimResult.HELD
         if not taken and self._reachable < needed:
-            return Vote.OUT_OF_REACH
-        if len(answers) < len(self.homes):
-            return Vote.OPEN
-        return Vote.CONTENDED if taken else Vote.OUT_OF_REACH
+            return ClaimResult.OUT_OF_REACH
+        if len(answers) < len(self.voters):
+            return ClaimResult.OPEN
+        return ClaimResult.CONTENDED if taken else ClaimResult.OUT_OF_REACH
 
-    def close(self) -> Vote:
+    def close(self) -> ClaimResult:
         """Count every voter without an answer as abstained; return the result."""
-        for voter in self.homes:
+        for voter in self.voters:
             self.take(voter, ClaimState.ABSTAINED)
         return self.vote
 
@@ -227,4 +227,4 @@
     @property
     def _reachable(self) -> int:
         abstained = list(self._answers.values()).count(ClaimState.ABSTAINED)
-        return len(self.homes) - abstained
+        return len(self.voters) - abstained
--- a/packages/core/src/crowrudder_core/requests/_ledger.py
+++ b/packages/core/src/crowrudder_core/requests/_ledger.py
@@ -14,7 +14,7 @@
     SettledState,
 )
 
-KEEP_S = 600.0
+ATTEMPT_RETENTION_S = 600.0
 """How long the record of an ended attempt is retained."""
 
 
@@ -78,7 +78,7 @@
         )
         return None
 
-    def ask(self, key: AttemptKey, *, now: float) -> bool:
+    def request_permit(self, key: AttemptKey, *, now: float) -> bool:
         """Record that a permit is requested; false if it may not be requested."""
         record = self.records[key]
         if record.stage is not Stage.QUEUED or now >= record.deadline:
@@ -162,11 +162,12 @@
         return SettledState.NEVER_STARTS
 
     def forget(self, *, now: float) -> int:
-        """Drop attempts that ended more than `KEEP_S` ago; return their number."""
+        """Drop attempts that ended more than `ATTEMPT_RETENTION_S` ago; return their number."""
         expired = [
             key
             for key, record in self.records.items()
-            if record.stage in _END_STAGES and now - record.ended_at > KEEP_S
+            if record.stage in _END_STAGES
+            and now - record.ended_at > ATTEMPT_RETENTION_S
         ]
         for key in expired:
             self.records.pop(key)
@@ -178,7 +179,7 @@
         stale_ids = [
             request_id
             for request_id, at in self.started_ids.items()
-            if now - at > KEEP_S and request_id not in running
+            if now - at > ATTEMPT_RETENTION_S and request_id not in running
         ]
         for request_id in stale_ids:
             self.started_ids.pop(request_id)
--- a/packages/core/src/crowrudder_core/requests/_owner.py
+++ b/packages/core/src/crowrudder_core/requests/_owner.py
@@ -27,7 +27,7 @@
 
 
 @frozen
-class MoveOn:
+class RetryElsewhere:
     """The attempt never starts; another agent can be tried safely."""
 
     key: AttemptKey
@@ -54,7 +54,9 @@
     idempotent: bool = field(kw_only=True)
     deadline: float = field(kw_only=True)
     serial: int = field(default=0, kw_only=True)
-    holds: dict[AttemptKey, _AttemptState] = field(factory=dict, init=False)
+    attempt_states: dict[AttemptKey, _AttemptState] = field(
+        factory=dict, init=False
+    )
     closed: Outcome | None = field(default=None, init=False)
     _hedges: set[AttemptKey] = field(factory=set, init=False)
     _run_outcome: Outcome | None = field(default=None, init=False)
@@ -67,11 +69,11 @@
         """
         key = AttemptKey(
             request_id=self.request_id,
-            attempt=len(self.holds) + 1,
+            attempt=len(self.attempt_states) + 1,
             entry=self.entry,
             serial=self.serial,
         )
-        self.holds[key] = _AttemptState.WAITING
+        self.attempt_states[key] = _AttemptState.WAITING
         if hedge:
             self._hedges.add(key)
         return key
@@ -80,49 +82,49 @@
         """Grant or deny a permit request; return whether it is granted."""
         if self.closed is not None or now >= self.deadline:
             return False
-        if self.holds.get(key) is not _AttemptState.WAITING:
+        if self.attempt_states.get(key) is not _AttemptState.WAITING:
             return False
         may_run_concurrently = self.idempotent and key in self._hedges
-        if self.permit_out and not may_run_concurrently:
+        if self.has_outstanding_permit and not may_run_concurrently:
             return False
-        self.holds[key] = _AttemptState.GRANTED
+        self.attempt_states[key] = _AttemptState.GRANTED
         return True
 
-    def refused(self, key: AttemptKey) -> MoveOn:
+    def refused(self, key: AttemptKey) -> RetryElsewhere:
         """Record that an agent refused the attempt, which never starts."""
-        self.holds[key] = _AttemptState.ENDED
-        return MoveOn(key)
+        self.attempt_states[key] = _AttemptState.ENDED
+        return RetryElsewhere(key)
 
-    def lost(self, key: AttemptKey) -> Settle | MoveOn:
+    def lost(self, key: AttemptKey) -> Settle | RetryElsewhere:
         """Record that the connection of an attempt was lost."""
-        if self.holds[key] is _AttemptState.GRANTED:
-            self.holds[key] = _AttemptState.LOST
+        if self.attempt_states[key] is _AttemptState.GRANTED:
+            self.attempt_states[key] = _AttemptState.LOST
             return Settle(key)
-        self.holds[key] = _AttemptState.ENDED
-        return MoveOn(key)
+        self.attempt_states[key] = _AttemptState.ENDED
+        return RetryElsewhere(key)
 
     def settled(
         self,
         key: AttemptKey,
         state: SettledState,
-    ) -> MoveOn | Attach | Outcome:
+    ) -> RetryElsewhere | Attach | Outcome:
         """Apply the agent's binding answer, or that its incarnation is gone."""
         match state:
             case SettledState.NEVER_STARTS:
                 return self.refused(key)
             case SettledState.ATTACHED:
-                self.holds[key] = _AttemptState.GRANTED
+                self.attempt_states[key] = _AttemptState.GRANTED
                 return Attach(key)
             case SettledState.OTHER_INCARNATION:
-                return self._gone(key)
+                return self._on_agent_gone(key)
 
-    def unreachable(self, key: AttemptKey) -> MoveOn | Outcome:
+    def unreachable(self, key: AttemptKey) -> RetryElsewhere | Outcome:
         """Record that no agent can settle the attempt any more."""
-        return self._gone(key)
+        return self._on_agent_gone(key)
 
     def ended(self, key: AttemptKey, outcome: Outcome) -> None:
         """Record the final message of an attempt."""
-        self.holds[key] = _AttemptState.ENDED
+        self.attempt_states[key] = _AttemptState.ENDED
         if outcome is not Outcome.NOT_RUN:
             self._record_run(outcome)
 
@@ -133,7 +135,7 @@
         attempt may be running. If an earlier attempt ran, "not run" becomes
         the outcome of that attempt.
         """
-        if outcome is Outcome.NOT_RUN and self.permit_out:
+        if outcome is Outcome.NOT_RUN and self.has_outstanding_permit:
             outcome = Outcome.UNKNOWN
         if outcome is Outcome.NOT_RUN and self._run_outcome is not None:
             outcome = self._run_outcome
@@ -148,17 +150,19 @@
     @property
     def may_hedge(self) -> bool:
         """Whether another attempt may be queued besides the current ones."""
-        return self.closed is None and (self.idempotent or not self.permit_out)
+        return self.closed is None and (
+            self.idempotent or not self.has_outstanding_permit
+        )
 
     @property
-    def permit_out(self) -> bool:
+    def has_outstanding_permit(self) -> bool:
         """Whether an attempt may be running somewhere."""
         return any(
             state in {_AttemptState.GRANTED, _AttemptState.LOST}
-            for state in self.holds.values()
+            for state in self.attempt_states.values()
         )
 
-    def _gone(self, key: AttemptKey) -> MoveOn | Outcome:
+    def _on_agent_gone(self, key: AttemptKey) -> RetryElsewhere | Outcome:
         if not self.idempotent:
             return Outcome.UNKNOWN
         self._record_run(Outcome.UNKNOWN)
--- a/packages/core/src/crowrudder_core/requests/_voters.py
+++ b/packages/core/src/crowrudder_core/requests/_voters.py
@@ -9,7 +9,7 @@
 
 from crowrudder_model import ranked
 
-MOST_HOMES = 5
+MAX_VOTERS = 5
 """Number of voters of an id in a large enough fleet."""
 
 MAX_UNANIMOUS_VOTERS = 3
@@ -17,14 +17,16 @@
 
 
 @frozen
-class Place:
+class VoterCandidate:
     """An agent that may be chosen as a voter."""
 
     host: str
     failure_domain: str
 
 
-def homes_of(request_id: str, candidates: Iterable[Place]) -> tuple[str, ...]:
+def voters_of(
+    request_id: str, candidates: Iterable[VoterCandidate]
+) -> tuple[str, ...]:
     """Return the voters of an id, spread over failure domains.
 
     The order of the domains depends only on the id, and the hosts of each
@@ -33,7 +35,7 @@
 
     Example
     -------
-    >>> homes_of('r1', [Place('a', 'x'), Place('b', 'y')]) in (
+    >>> voters_of('r1', [VoterCandidate('a', 'x'), VoterCandidate('b', 'y')]) in (
     ...     ('a', 'b'),
     ...     ('b', 'a'),
     ... )
@@ -53,7 +55,7 @@
         for column in columns
         if row < len(column)
     )
-    return tuple(rows)[:MOST_HOMES]
+    return tuple(rows)[:MAX_VOTERS]
 
 
 def quorum(voter_count: int) -> int:
--- a/packages/core/src/crowrudder_core/routing/_agent_state.py
+++ b/packages/core/src/crowrudder_core/routing/_agent_state.py
@@ -7,7 +7,7 @@
 from attrs import define
 
 if TYPE_CHECKING:
-    from crowrudder_model.messages import Report, RoomReply
+    from crowrudder_model.messages import CapacityReply, Report
 
 SLOW_START_S = 8.0
 """Time for which a new agent gets less than its share."""
@@ -109,7 +109,7 @@
 
     def end_s(
         self,
-        reply: RoomReply,
+        reply: CapacityReply,
         *,
         pace_s: float,
         service_s: float,
--- a/packages/core/src/crowrudder_core/routing/_router.py
+++ b/packages/core/src/crowrudder_core/routing/_router.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from crowrudder_model.messages import Report, RoomReply
+    from crowrudder_model.messages import CapacityReply, Report
 
 SAMPLED_HOSTS = 2
 MAX_COST_RATIO = 1.18
@@ -49,7 +49,7 @@
 
     host: str
     wait_s: float
-    sure: bool = True
+    is_certain: bool = True
     """Whether its occupancy is so low that lagging reports can't matter
     much."""
 
@@ -83,7 +83,7 @@
         """Treat agents that appear from now on as new ones."""
         self._started = True
 
-    def on_gone(self, host: str) -> None:
+    def on_agent_gone(self, host: str) -> None:
         """Stop using an agent until it reports again.
 
         Its outstanding attempts stay counted: the stream of reports may have
@@ -123,7 +123,7 @@
         if state is not None:
             state.on_outcome(failed=failed, now=now)
 
-    def patience_s(self, service: str) -> float:
+    def hedge_delay_s(self, service: str) -> float:
         """Return the wait after which a second attempt is worth its cost."""
         times = [
             state.first_piece_s
@@ -167,13 +167,13 @@
         return Choice(
             chosen,
             state.wait_s(pace_s=pace_s),
-            sure=state.load + 1 <= SURE_OCCUPANCY * state.report.slots,
+            is_certain=state.load + 1 <= SURE_OCCUPANCY * state.report.slots,
         )
 
-    def choose_by_word(
+    def choose_by_capacity(
         self,
         need: Need,
-        replies: dict[str, RoomReply],
+        replies: dict[str, CapacityReply],
         *,
         first: str,
         now: float,
@@ -208,7 +208,7 @@
             )
         return Choice(best, replies[best].wait_s)
 
-    def draw(self, need: Need, count: int, *, now: float) -> list[str]:
+    def sample(self, need: Need, count: int, *, now: float) -> list[str]:
         """Return a random sample of hosts to ask for their free slots."""
         hosts = self.candidates(need, now=now)
         return self._random.sample(hosts, min(count, len(hosts)))
--- a/packages/core/src/crowrudder_core/transfer/__init__.py
+++ b/packages/core/src/crowrudder_core/transfer/__init__.py
@@ -3,11 +3,11 @@
 from crowrudder_core.transfer._chunk_sets import full, indices, pack, unpack
 from crowrudder_core.transfer._hosts import ServiceHosts
 from crowrudder_core.transfer._layer_ranges import (
-    chunks_of,
-    layers_at_hand,
-    layers_of,
-    part_count,
-    parts_of,
+    assign_layer_ranges,
+    chunks_of_layers,
+    layer_range_count,
+    layers_of_range,
+    longest_held_layers,
 )
 from crowrudder_core.transfer._link_share import LinkShare
 from crowrudder_core.transfer._manifest import (
@@ -16,12 +16,12 @@
     decode_manifest,
 )
 from crowrudder_core.transfer._origin import (
-    MOST_COPIES,
+    MAX_COPIES,
     OriginReader,
     choose_seeds,
 )
 from crowrudder_core.transfer._pacing import PacingConfig, derive_pacing
-from crowrudder_core.transfer._peers import PeerTable, Place, Stock
+from crowrudder_core.transfer._peers import PeerInventory, PeerTable, Place
 from crowrudder_core.transfer._planner import (
     ChunkOrder,
     FromOrigin,
@@ -33,8 +33,8 @@
     plan_reads,
 )
 from crowrudder_core.transfer._progress import Progress
-from crowrudder_core.transfer._rolling import may_change, predecessors
-from crowrudder_core.transfer._start import transfer_of
+from crowrudder_core.transfer._rolling import may_load, predecessors
+from crowrudder_core.transfer._start import start_transfer
 from crowrudder_core.transfer._store import ChunkStore, NoRoomError
 from crowrudder_core.transfer._transfer import Transfer
 from crowrudder_core.transfer._unassigned_reads import (
@@ -48,7 +48,7 @@
     'FromOrigin',
     'FromPeer',
     'LinkShare',
-    'MOST_COPIES',
+    'MAX_COPIES',
     'Manifest',
     'ManifestError',
     'NoRoomError',
@@ -63,23 +63,23 @@
     'Read',
     'ServiceHosts',
     'Source',
-    'Stock',
+    'PeerInventory',
     'Transfer',
     'ReadCandidates',
     'choose_seeds',
-    'chunks_of',
+    'chunks_of_layers',
     'decode_manifest',
     'full',
     'indices',
-    'layers_at_hand',
-    'layers_of',
-    'may_change',
+    'longest_held_layers',
+    'layers_of_range',
+    'may_load',
     'derive_pacing',
     'pack',
-    'part_count',
-    'parts_of',
+    'layer_range_count',
+    'assign_layer_ranges',
     'plan_reads',
     'predecessors',
-    'transfer_of',
+    'start_transfer',
     'unpack',
 )
--- a/packages/core/src/crowrudder_core/transfer/_hosts.py
+++ b/packages/core/src/crowrudder_core/transfer/_hosts.py
@@ -6,7 +6,10 @@
 
 from attrs import define, field
 
-from crowrudder_core.transfer._layer_ranges import part_count, parts_of
+from crowrudder_core.transfer._layer_ranges import (
+    assign_layer_ranges,
+    layer_range_count,
+)
 from crowrudder_model import ranked
 
 if TYPE_CHECKING:
@@ -57,9 +60,9 @@
         return same_region, other_regions
 
     @property
-    def part_count(self) -> int:
+    def layer_range_count(self) -> int:
         """Number of layer ranges that a version is split into."""
-        return part_count(len(self.places))
+        return layer_range_count(len(self.places))
 
     def rank(self, version: str) -> int:
         """Return this host's rank in the rendezvous order of a version."""
@@ -70,5 +73,7 @@
     def part(self, version: str) -> int:
         """Return the number of the layer range that this host collects first."""
         if version not in self._part_numbers:
-            self._part_numbers[version] = parts_of(version, self.places)
+            self._part_numbers[version] = assign_layer_ranges(
+                version, self.places
+            )
         return self._part_numbers[version][self.host]
--- a/packages/core/src/crowrudder_core/transfer/_layer_ranges.py
+++ b/packages/core/src/crowrudder_core/transfer/_layer_ranges.py
@@ -28,18 +28,20 @@
 """
 
 
-def part_count(hosts: int) -> int:
+def layer_range_count(hosts: int) -> int:
     """Return the number of layer ranges for a number of hosts."""
     return max(min(hosts, MAX_LAYER_RANGES), 1)
 
 
-def parts_of(version: str, places: Mapping[str, Place]) -> dict[str, int]:
+def assign_layer_ranges(
+    version: str, places: Mapping[str, Place]
+) -> dict[str, int]:
     """Return the number of each host's layer range; all hosts compute the same.
 
     Each region gets every layer range if it has enough hosts, and the layer
     ranges are spread evenly over the hosts of the fleet.
     """
-    count = part_count(len(places))
+    count = layer_range_count(len(places))
     in_region: Counter[tuple[str, int]] = Counter()
     in_fleet: Counter[int] = Counter()
     assigned = {}
@@ -55,21 +57,21 @@
     return assigned
 
 
-def layers_of(number: int, count: int, layers: int) -> LayerRange:
+def layers_of_range(number: int, count: int, layers: int) -> LayerRange:
     """Return the layers of the range with a number.
 
-    >>> layers_of(1, 3, 16)
+    >>> layers_of_range(1, 3, 16)
     LayerRange(first=5, end=10)
     """
     return LayerRange(number * layers // count, (number + 1) * layers // count)
 
 
-def chunks_of(held: LayerRange, *, layers: int, chunks: int) -> int:
+def chunks_of_layers(held: LayerRange, *, layers: int, chunks: int) -> int:
     """Return the chunks (bits) that contain the layers.
 
     A chunk across the border of two layers belongs to both.
 
-    >>> bin(chunks_of(LayerRange(1, 2), layers=3, chunks=4))
+    >>> bin(chunks_of_layers(LayerRange(1, 2), layers=3, chunks=4))
     '0b110'
     """
     first = held.first * chunks // layers
@@ -77,17 +79,17 @@
     return (1 << end) - (1 << first)
 
 
-def layers_at_hand(held: int, *, layers: int, chunks: int) -> LayerRange:
+def longest_held_layers(held: int, *, layers: int, chunks: int) -> LayerRange:
     """Return the longest run of layers whose chunks (bits) are all held.
 
-    >>> layers_at_hand(0b0111, layers=2, chunks=4)
+    >>> longest_held_layers(0b0111, layers=2, chunks=4)
     LayerRange(first=0, end=1)
-    >>> layers_at_hand(0b0101, layers=2, chunks=4)
+    >>> longest_held_layers(0b0101, layers=2, chunks=4)
     LayerRange(first=0, end=0)
     """
     best = run = LayerRange()
     for layer in range(layers):
-        needed = chunks_of(
+        needed = chunks_of_layers(
             LayerRange(layer, layer + 1), layers=layers, chunks=chunks
         )
         if needed & ~held:
--- a/packages/core/src/crowrudder_core/transfer/_link_share.py
+++ b/packages/core/src/crowrudder_core/transfer/_link_share.py
@@ -39,7 +39,7 @@
     _free_at: float = 0
     _updated_at: float = 0
 
-    def on_live(self, size: int, requests: int, *, now: float) -> None:
+    def on_live_traffic(self, size: int, requests: int, *, now: float) -> None:
         """Record answer bytes since the last call, and the running requests."""
         elapsed_s = now - self._updated_at
         if elapsed_s <= 0:
--- a/packages/core/src/crowrudder_core/transfer/_origin.py
+++ b/packages/core/src/crowrudder_core/transfer/_origin.py
@@ -21,8 +21,11 @@
 from attrs import define, field, frozen
 
 from crowrudder_core.transfer._chunk_sets import full
-from crowrudder_core.transfer._layer_ranges import part_count, parts_of
-from crowrudder_core.transfer._pacing import ORIGIN_LINKS
+from crowrudder_core.transfer._layer_ranges import (
+    assign_layer_ranges,
+    layer_range_count,
+)
+from crowrudder_core.transfer._pacing import ORIGIN_CAPACITY_LINKS
 from crowrudder_core.transfer._planner import OriginReason
 from crowrudder_model import InvariantError, ranked
 
@@ -32,7 +35,7 @@
     from crowrudder_core.transfer._pacing import PacingConfig
     from crowrudder_core.transfer._peers import Place
 
-MOST_COPIES = 4
+MAX_COPIES = 4
 """Maximum copies that the origin sends in a window."""
 
 SHARED_COPIES = 3
@@ -42,7 +45,7 @@
 the two sides of a partition may differ by as many, before the cap is reached.
 """
 
-MOST_SEEDS = 32
+MAX_SEEDS = 32
 
 MIN_RETRY_WAIT_S = 0.25
 
@@ -163,7 +166,7 @@
         The chunks of a seed that left go to the next seed in each order.
         """
         kept = tuple(seed for seed in self.seeds if seed in places)
-        capacity = max(MOST_SEEDS - len(kept), 0)
+        capacity = max(MAX_SEEDS - len(kept), 0)
         added = [seed for seed in seeds if seed not in kept][:capacity]
         self.seeds = (*kept, *added)
         self._seed_regions = {seed: places[seed].region for seed in self.seeds}
@@ -185,9 +188,9 @@
     def _chunk_groups(
         self, places: Mapping[str, Place]
     ) -> list[frozenset[str]]:
-        """Return the hosts that collect each chunk first, see `parts_of`."""
-        numbers = parts_of(self.version, places)
-        count = part_count(len(places))
+        """Return the hosts that collect each chunk first, see `assign_layer_ranges`."""
+        numbers = assign_layer_ranges(self.version, places)
+        count = layer_range_count(len(places))
         groups = [
             frozenset(host for host in numbers if numbers[host] == group)
             for group in range(count)
@@ -267,7 +270,7 @@
         self.on_failed(index, was_sent=True, now=now)
 
     @property
-    def is_at_odds(self) -> bool:
+    def is_manifest_suspect(self) -> bool:
         """Return whether a chunk repeatedly mismatched the manifest.
 
         Either may be wrong: the manifest came from the same origin.
@@ -277,7 +280,7 @@
             >= MAX_CORRUPTED_READS
         )
 
-    def on_doubted(self) -> None:
+    def on_manifest_reread(self) -> None:
         """Reset the counts of corrupted reads, as the manifest is read again."""
         self._corrupted_reads.clear()
 
@@ -294,7 +297,7 @@
         if now - self._window_start >= self.pace.window_s:
             self._window_start = now
             self.spent = 0
-        stagger_s = self.pace.chunk_s / ORIGIN_LINKS
+        stagger_s = self.pace.chunk_s / ORIGIN_CAPACITY_LINKS
         opens_at = self._started_at + self.seeds.index(self.host) * stagger_s
         return (
             now >= max(opens_at, self._paused_until) and self.spent < self.share
@@ -424,6 +427,6 @@
     selection = sorted(
         (round_number, order, seed)
         for order, domain in enumerate(sorted(rounds))
-        for round_number, seed in enumerate(rounds[domain][:MOST_SEEDS])
+        for round_number, seed in enumerate(rounds[domain][:MAX_SEEDS])
     )
-    return tuple(seed for _, _, seed in selection[:MOST_SEEDS])
+    return tuple(seed for _, _, seed in selection[:MAX_SEEDS])
--- a/packages/core/src/crowrudder_core/transfer/_pacing.py
+++ b/packages/core/src/crowrudder_core/transfer/_pacing.py
@@ -6,7 +6,7 @@
 
 from crowrudder_core.transfer._planner import ChunkOrder
 
-ORIGIN_LINKS = 2
+ORIGIN_CAPACITY_LINKS = 2
 """Capacity of the origin's link in host links.
 
 In one window it carries 4 copies, a host's link 2.
--- a/packages/core/src/crowrudder_core/transfer/_peers.py
+++ b/packages/core/src/crowrudder_core/transfer/_peers.py
@@ -55,7 +55,7 @@
 
 
 @frozen(kw_only=True)
-class Stock:
+class PeerInventory:
     """Inventory of one version that a peer reported.
 
     Sets of chunks are bits. ``passes`` are chunks that the peer leaves to the
@@ -153,7 +153,7 @@
         self._preference = _preference_order(self.host, self.peers)
         self.revision += 1
 
-    def on_stock(self, stock: Stock, now: float) -> None:
+    def on_inventory(self, stock: PeerInventory, now: float) -> None:
         """Record the inventory that a peer reported."""
         peer = self.peers.get(stock.host)
         if peer is None:
@@ -169,7 +169,7 @@
         peer.query_at = now + self.pace.poll_s
         self._update_revision(before, peer)
 
-    def on_silence(self, host: str, now: float) -> None:
+    def on_no_answer(self, host: str, now: float) -> None:
         """Record a query without an answer."""
         peer = self.peers.get(host)
         if peer is None:
@@ -245,7 +245,7 @@
         return peer is not None and peer.passes.bit_count() >= count
 
     @property
-    def turn_reason(self) -> OriginReason:
+    def assigned_reason(self) -> OriginReason:
         """Reason for reads that this host is assigned at the origin."""
         if not self.peers or any(
             peer.has_answered for peer in self.peers.values()
--- a/packages/core/src/crowrudder_core/transfer/_planner.py
+++ b/packages/core/src/crowrudder_core/transfer/_planner.py
@@ -96,7 +96,7 @@
     ``missing`` chunks are neither held nor in flight. ``importable`` chunks
     are those that this host reads from other regions on behalf of its own.
     ``from_origin`` are those that this host is assigned to read from the
-    origin, for the reason ``turn_reason``. ``preferred`` chunks are read
+    origin, for the reason ``assigned_reason``. ``preferred`` chunks are read
     before others; for ``primary`` chunks this host is the first reader of the
     origin.
     """
@@ -106,19 +106,19 @@
     from_origin: int
     preferred: int = 0
     primary: int = 0
-    turn_reason: OriginReason = OriginReason.TURN
+    assigned_reason: OriginReason = OriginReason.TURN
 
 
 def plan_reads(
     read_candidates: ReadCandidates,
     sources: Sequence[Source],
     *,
-    room: int,
+    free_slots: int,
     origin_free_slots: int,
     random: Random,
     order: ChunkOrder = ChunkOrder.RAREST,
 ) -> list[Read]:
-    """Return up to ``room`` reads to start now, those from the origin first.
+    """Return up to ``free_slots`` reads to start now, those from the origin first.
 
     A chunk that some reachable host holds is never read from the origin.
     """
@@ -126,13 +126,16 @@
     held = reduce(or_, usable, 0)
     due = read_candidates.from_origin & read_candidates.missing & ~held
     reads: list[Read] = [
-        FromOrigin(index, read_candidates.turn_reason)
+        FromOrigin(index, read_candidates.assigned_reason)
         for index in _sample_due(
-            due, read_candidates.primary, min(origin_free_slots, room), random
+            due,
+            read_candidates.primary,
+            min(origin_free_slots, free_slots),
+            random,
         )
     ]
     missing = read_candidates.missing & held
-    while len(reads) < room:
+    while len(reads) < free_slots:
         read = _next_from_peer(
             missing & read_candidates.preferred or missing,
             sources,
--- a/packages/core/src/crowrudder_core/transfer/_rolling.py
+++ b/packages/core/src/crowrudder_core/transfer/_rolling.py
@@ -40,7 +40,7 @@
     return list(reversed(chain))
 
 
-def may_change(
+def may_load(
     version: str,
     chain: Iterable[str],
     loaded: Mapping[str, str],
--- a/packages/core/src/crowrudder_core/transfer/_start.py
+++ b/packages/core/src/crowrudder_core/transfer/_start.py
@@ -18,7 +18,7 @@
     from crowrudder_core.transfer._store import ChunkStore
 
 
-def transfer_of(
+def start_transfer(
     manifest: Manifest,
     *,
     host: str,
--- a/packages/core/src/crowrudder_core/transfer/_transfer.py
+++ b/packages/core/src/crowrudder_core/transfer/_transfer.py
@@ -12,7 +12,7 @@
 from crowrudder_core.transfer._chunk_sets import full, indices
 from crowrudder_core.transfer._inbound_link import InboundLink
 from crowrudder_core.transfer._origin import OriginReader
-from crowrudder_core.transfer._peers import PeerTable, Place, Stock
+from crowrudder_core.transfer._peers import PeerInventory, PeerTable, Place
 from crowrudder_core.transfer._planner import (
     FromOrigin,
     FromPeer,
@@ -61,7 +61,7 @@
 
     Invariants: a chunk counts only if its bytes match the digest for its index
     in this version's manifest; nothing is read or accepted after the version
-    is dropped; `assert_whole` passes only for a complete version whose bytes
+    is dropped; `assert_complete` passes only for a complete version whose bytes
     match the manifest; reads from the origin stay below the cap.
 
     Parameters
@@ -81,7 +81,7 @@
     ----------
     first
         Chunks (bits) to read before the others.
-    goes_behind
+    yields_to
         A transfer with priority on this host's link: until it is complete,
         this one reads one chunk at a time.
     """
@@ -97,12 +97,12 @@
     dropped: bool = field(default=False, init=False)
     held: int = field(default=0, init=False)
     first: int = field(default=0, init=False)
-    goes_behind: Transfer | None = field(default=None, init=False, repr=False)
+    yields_to: Transfer | None = field(default=None, init=False, repr=False)
     peers: PeerTable = field(init=False)
     origin: OriginReader = field(init=False)
     progress: Progress = field(init=False)
     inbound_link: InboundLink = field(init=False)
-    flights: dict[Read, _ReadInFlight] = field(factory=dict, init=False)
+    in_flight: dict[Read, _ReadInFlight] = field(factory=dict, init=False)
     _places: Mapping[str, Place] = field(factory=dict, init=False)
     _unassigned_reads: UnassignedReads = field(
         factory=UnassignedReads, init=False
@@ -151,7 +151,7 @@
         return self.held == full(self.count)
 
     @property
-    def at_hand(self) -> int:
+    def servable_chunks(self) -> int:
         """The chunks (bits) that can be sent to other hosts now.
 
         Chunks of a version that is no longer wanted are evicted from the store
@@ -166,7 +166,7 @@
     @property
     def is_sound(self) -> bool:
         """Return whether it is not dropped and all held chunks are stored."""
-        return not self.dropped and self.held == self.at_hand
+        return not self.dropped and self.held == self.servable_chunks
 
     def chunk(self, index: int) -> bytes | None:
         """Return a chunk's bytes if this host holds it verified, otherwise None."""
@@ -182,15 +182,15 @@
         self.peers.on_hosts(places)
         self.origin.on_hosts(places)
 
-    def on_stock(self, stock: Stock, *, now: float) -> None:
+    def on_inventory(self, stock: PeerInventory, *, now: float) -> None:
         """Record the inventory that a peer reported."""
-        self.peers.on_stock(stock, now)
+        self.peers.on_inventory(stock, now)
 
-    def on_silence(self, host: str, *, now: float) -> None:
+    def on_no_answer(self, host: str, *, now: float) -> None:
         """Record that a peer did not answer."""
-        self.peers.on_silence(host, now)
+        self.peers.on_no_answer(host, now)
 
-    def peers_to_ask(self, *, now: float) -> list[str]:
+    def peers_to_query(self, *, now: float) -> list[str]:
         """Return the hosts to query for their inventory now."""
         if self.dropped or self.complete:
             return []
@@ -199,15 +199,15 @@
 
     def next_reads(self, *, now: float) -> list[Read]:
         """Return the reads to start now; they count as started."""
-        self.inbound_link.on_reads(len(self.flights), now=now)
-        max_reads = _reads_at_once(self.pace, self.goes_behind)
+        self.inbound_link.on_reads(len(self.in_flight), now=now)
+        max_reads = _reads_at_once(self.pace, self.yields_to)
         if self.inbound_link.is_narrow(now):
             # Sources may be silent as well: one read continues beside those.
             max_reads = 1 + min(
-                _count_silent(self.flights, now - self.pace.stall_s),
+                _count_silent(self.in_flight, now - self.pace.stall_s),
                 MAX_SILENT_READS,
             )
-        free_slots = max_reads - len(self.flights)
+        free_slots = max_reads - len(self.in_flight)
         if self.dropped or self.complete or free_slots <= 0:
             return []
         read_candidates = self._read_candidates()
@@ -219,7 +219,7 @@
         reads = plan_reads(
             read_candidates,
             sources,
-            room=free_slots,
+            free_slots=free_slots,
             origin_free_slots=self.origin.free_slots(now),
             random=self.random,
             order=self.pace.order,
@@ -231,7 +231,7 @@
         return reads
 
     def _unassigned_read(self, sources: list[Source], now: float) -> list[Read]:
-        if self.flights:
+        if self.in_flight:
             self._unassigned_reads.on_active(now)
         read_candidates = self._read_candidates()
         availability = ChunkAvailability(
@@ -268,16 +268,18 @@
         )
         return [
             read
-            for read, in_flight in self.flights.items()
-            if now - in_flight.last_byte_at >= stall_factor * self.pace.stall_s
+            for read, read_state in self.in_flight.items()
+            if now - read_state.last_byte_at >= stall_factor * self.pace.stall_s
         ]
 
-    def on_moved(self, read: Read, *, now: float, size: int = 0) -> None:
+    def on_bytes_received(
+        self, read: Read, *, now: float, size: int = 0
+    ) -> None:
         """Record received bytes of a read."""
         self.inbound_link.on_bytes(size, now=now)
-        in_flight = self.flights.get(read)
-        if in_flight is not None:
-            in_flight.last_byte_at = now
+        read_state = self.in_flight.get(read)
+        if read_state is not None:
+            read_state.last_byte_at = now
 
     def on_chunk(self, read: Read, payload: bytes, *, now: float) -> bool:
         """Process a received chunk and return whether its bytes are valid.
@@ -285,17 +287,17 @@
         It may arrive late, after the read was abandoned or the version was
         dropped; each chunk is verified independently of earlier events.
         """
-        in_flight = self.flights.get(read)
+        read_state = self.in_flight.get(read)
         self._end(read)
         if self.dropped:
             return False
         is_valid = self._store_chunk(read.index, payload, now)
-        if in_flight is not None and is_valid and isinstance(read, FromOrigin):
-            self.origin.on_read_time(now - in_flight.started_at, now=now)
+        if read_state is not None and is_valid and isinstance(read, FromOrigin):
+            self.origin.on_read_time(now - read_state.started_at, now=now)
         self._update_source(read, is_valid=is_valid, now=now)
         return is_valid
 
-    def on_found(self, index: int, payload: bytes, *, now: float) -> bool:
+    def on_local_chunk(self, index: int, payload: bytes, *, now: float) -> bool:
         """Store a chunk found locally and return whether its bytes are valid.
 
         Invalid bytes are not counted against any source. If they counted as
@@ -342,7 +344,7 @@
 
     def abandon_reads(self) -> None:
         """Discard the reads in flight, as the tasks that made them ended."""
-        for read in list(self.flights):
+        for read in list(self.in_flight):
             self._end(read)
 
     def drop(self) -> None:
@@ -350,7 +352,7 @@
         self.dropped = True
         self.abandon_reads()
 
-    def assert_whole(self) -> None:
+    def assert_complete(self) -> None:
         """Verify the complete version before any of it is loaded.
 
         Raises
@@ -371,7 +373,7 @@
         """Return short descriptions of the sources in use or awaited."""
         if self.complete:
             return []
-        reading = Counter(_source_of(read) for read in self.flights)
+        reading = Counter(_source_of(read) for read in self.in_flight)
         listed = [
             f'{count} from {source}'
             for source, count in reading.most_common(MAX_SOURCES_LISTED)
@@ -390,7 +392,9 @@
         assignments = self.origin.assignments(
             self._is_skipped, revision, is_absent=self.peers.is_skipped
         )
-        being_read = reduce(or_, (1 << read.index for read in self.flights), 0)
+        being_read = reduce(
+            or_, (1 << read.index for read in self.in_flight), 0
+        )
         missing = full(self.count) & ~self.held & ~being_read
         return ReadCandidates(
             missing=missing,
@@ -398,7 +402,7 @@
             from_origin=assignments.from_origin,
             preferred=self.first,
             primary=assignments.primary,
-            turn_reason=self.peers.turn_reason,
+            assigned_reason=self.peers.assigned_reason,
         )
 
     def _is_skipped(self, host: str, index: int) -> bool:
@@ -421,10 +425,10 @@
                 self.peers.peers[host].reading += 1
             case FromOrigin(index=index, reason=reason):
                 self.origin.on_started(index, reason)
-        self.flights[read] = _ReadInFlight(now, now)
+        self.in_flight[read] = _ReadInFlight(now, now)
 
     def _end(self, read: Read) -> bool:
-        if self.flights.pop(read, None) is None:
+        if self.in_flight.pop(read, None) is None:
             return False
         match read:
             case FromPeer(host=host):
@@ -451,16 +455,16 @@
             self.origin.on_held(index)
 
 
-def _reads_at_once(pace: PacingConfig, goes_behind: Transfer | None) -> int:
-    if goes_behind is None or goes_behind.complete or goes_behind.dropped:
+def _reads_at_once(pace: PacingConfig, yields_to: Transfer | None) -> int:
+    if yields_to is None or yields_to.complete or yields_to.dropped:
         return pace.reads_at_once
     return 1
 
 
-def _count_silent(flights: Mapping[Read, _ReadInFlight], since: float) -> int:
+def _count_silent(in_flight: Mapping[Read, _ReadInFlight], since: float) -> int:
     """Return the number of reads without a byte since a time."""
     return sum(
-        in_flight.last_byte_at <= since for in_flight in flights.values()
+        read_state.last_byte_at <= since for read_state in in_flight.values()
     )
 
 
--- a/packages/daemon/src/crowrudder_daemon/_lifecycle.py
+++ b/packages/daemon/src/crowrudder_daemon/_lifecycle.py
@@ -27,7 +27,7 @@
 EXIT_NOT_STARTED = 1
 EXIT_CUT_OFF = 3
 
-CLOSE_S = 5.0
+SHUTDOWN_STEP_TIMEOUT_S = 5.0
 """Timeout of one shutdown step in seconds.
 
 The slowest step cancels its remote calls after a grace period of one second
@@ -67,7 +67,7 @@
     role: Role
     phase: Phase = Phase.STARTING
     admin_port: int = 0
-    stuck: bool = False
+    has_unfinished_steps: bool = False
     """Whether some part of the process did not end within its timeout."""
 
     _started_s: float = field(factory=time.monotonic)
@@ -179,9 +179,9 @@
         ports, so that its successor could not start.
         """
         part = asyncio.ensure_future(closing)
-        await asyncio.wait((part,), timeout=CLOSE_S)
+        await asyncio.wait((part,), timeout=SHUTDOWN_STEP_TIMEOUT_S)
         if not part.done():
-            self.stuck = True
+            self.has_unfinished_steps = True
             self._log_running_tasks(step)
         elif not part.cancelled() and (exc := part.exception()) is not None:
             self.runtime.fault(step, exc)
@@ -193,7 +193,7 @@
             task.print_stack(file=where)
             self.runtime.log.error(
                 'not closed within %.0f s: %s',
-                CLOSE_S,
+                SHUTDOWN_STEP_TIMEOUT_S,
                 where.getvalue(),
                 extra={'step': step},
             )
@@ -237,7 +237,7 @@
     loop.add_signal_handler(signal.SIGHUP, runtime.request_reload)
     lifecycle = Lifecycle(runtime, build(runtime))
     code = await lifecycle.run(stop)
-    if lifecycle.stuck:
+    if lifecycle.has_unfinished_steps:
         # Closing the loop waits for every task, so it would wait for ever.
         os._exit(code or EXIT_CUT_OFF)
     return code
--- a/packages/daemon/src/crowrudder_daemon/_runtime.py
+++ b/packages/daemon/src/crowrudder_daemon/_runtime.py
@@ -56,7 +56,7 @@
     """The environment of a role.
 
     `incarnation` distinguishes this run of the process from earlier ones under
-    the same host name; it isn't stored. `reload_asked` is set when the
+    the same host name; it isn't stored. `reload_requested` is set when the
     settings may have changed.
     """
 
@@ -65,7 +65,7 @@
     metrics: Metrics = field(factory=Metrics)
     audit: Audit = field(factory=Audit)
     incarnation: str = field(factory=new_incarnation)
-    reload_asked: asyncio.Event = field(factory=asyncio.Event)
+    reload_requested: asyncio.Event = field(factory=asyncio.Event)
     _jobs: set[asyncio.Task[Any]] = field(factory=set, init=False)
 
     def spawn(
@@ -87,7 +87,7 @@
     def request_reload(self) -> None:
         """Request a reload of the settings, which may have changed."""
         self.log.info('told to read the settings', extra={'step': 'reload'})
-        self.reload_asked.set()
+        self.reload_requested.set()
 
     def fault(self, step: str, exc: BaseException | None) -> None:
         """Log and count an unhandled fault."""
--- a/packages/daemon/src/crowrudder_daemon/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/_task.py
@@ -52,7 +52,7 @@
             message = await self._inbox.get()
             await self._handle(message)
 
-    def handle_now(self, message: object) -> None:
+    def handle_immediately(self, message: object) -> None:
         """Run a handler that isn't a coroutine function, bypassing the queue.
 
         For messages from the object's own socket in its own loop: the queue
--- a/packages/daemon/src/crowrudder_daemon/agent/_answer_log.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_answer_log.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from crowrudder_model.messages import RunDown
+    from crowrudder_model.messages import RunServerMessage
 
 
 @define
@@ -21,11 +21,11 @@
     resumes from the first piece that it lacks, which must still be available.
     """
 
-    events: list[RunDown] = Factory(list)
+    events: list[RunServerMessage] = Factory(list)
     closed: bool = False
     _changed: asyncio.Event = Factory(asyncio.Event)
 
-    def add(self, event: RunDown) -> None:
+    def add(self, event: RunServerMessage) -> None:
         """Append a message and wake the readers."""
         self.events.append(event)
         self._wake()
@@ -35,7 +35,7 @@
         self.closed = True
         self._wake()
 
-    async def read(self) -> AsyncIterator[RunDown]:
+    async def read(self) -> AsyncIterator[RunServerMessage]:
         """Yield all messages from the first on until the log is closed."""
         position = 0
         while True:
@@ -47,7 +47,9 @@
                 return
             await changed.wait()
 
-    async def read_from_piece(self, index: int) -> AsyncIterator[RunDown]:
+    async def read_from_piece(
+        self, index: int
+    ) -> AsyncIterator[RunServerMessage]:
         """Yield the pieces from an index on, and the final message."""
         async for event in self.read():
             if event.final is not None:
--- a/packages/daemon/src/crowrudder_daemon/agent/_claims.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_claims.py
@@ -6,15 +6,15 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from crowrudder_core.requests import ClaimBook, Place, homes_of
+from crowrudder_core.requests import ClaimRegistry, VoterCandidate, voters_of
 from crowrudder_model import CrowrudderError
 from crowrudder_model.messages import (
-    ClaimAsk,
+    AcceptedCount,
     ClaimReply,
+    ClaimRequest,
     HandOver,
     HeldClaim,
-    ReleaseAsk,
-    Taken,
+    ReleaseRequest,
 )
 from crowrudder_model.rpc import CLAIM, HAND_OVER, RELEASE
 
@@ -44,7 +44,7 @@
         peers: PeerClient,
         knowledge: KnowledgeTask,
     ) -> None:
-        self.book = ClaimBook()
+        self.book = ClaimRegistry()
         self._runtime = runtime
         self._peers = peers
         self._knowledge = knowledge
@@ -74,16 +74,22 @@
         )
 
     async def _on_claim(
-        self, request: ClaimAsk, _context: object
+        self, request: ClaimRequest, _context: object
     ) -> ClaimReply:
         return ClaimReply(state=self.book.claim(request, now=_now()))
 
-    async def _on_release(self, request: ReleaseAsk, _context: object) -> Taken:
+    async def _on_release(
+        self, request: ReleaseRequest, _context: object
+    ) -> AcceptedCount:
         self.book.release(request, now=_now())
-        return Taken(count=1)
+        return AcceptedCount(count=1)
 
-    async def _on_hand_over(self, request: HandOver, _context: object) -> Taken:
-        return Taken(count=self.book.take_over(request.claims, now=_now()))
+    async def _on_hand_over(
+        self, request: HandOver, _context: object
+    ) -> AcceptedCount:
+        return AcceptedCount(
+            count=self.book.import_claims(request.claims, now=_now())
+        )
 
     def _batches(self) -> Iterator[tuple[str, HandOver]]:
         own = self._runtime.cfg.process.host
@@ -102,12 +108,12 @@
         members: dict[str, Member],
     ) -> dict[str, list[HeldClaim]]:
         candidates = [
-            Place(host, member.failure_domain)
+            VoterCandidate(host, member.failure_domain)
             for host, member in members.items()
         ]
         by_voter: defaultdict[str, list[HeldClaim]] = defaultdict(list)
         for claim in self.book.held(now=_now()):
-            for host in homes_of(claim.request_id, candidates):
+            for host in voters_of(claim.request_id, candidates):
                 by_voter[host].append(claim)
         return by_voter
 
--- a/packages/daemon/src/crowrudder_daemon/agent/_orders.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_orders.py
@@ -10,9 +10,9 @@
 from crowrudder_core.orders import (
     EngineOrders,
     EngineRead,
-    GiveOrder,
     Loaded,
     Outdated,
+    SendOrder,
     Target,
 )
 from crowrudder_model import CrowrudderError, UpstreamError
@@ -76,7 +76,7 @@
         state = await self._engine.state()
         decision = self._orders.on_read(_engine_read_of(state), target)
         self._raise_if_outdated(decision, target)
-        if isinstance(decision, GiveOrder):
+        if isinstance(decision, SendOrder):
             await self._send_order(decision, target, staged)
             state = await self._engine.state()
         if not self._orders.confirms(_engine_read_of(state), target):
@@ -106,7 +106,7 @@
         decision = self._orders.on_read(_engine_read_of(state), target)
         self._raise_if_outdated(decision, target)
         if isinstance(decision, Loaded) and adapter not in state.adapters:
-            order = GiveOrder(fence=self._orders.seen.packed)
+            order = SendOrder(fence=self._orders.seen.packed)
             await self._send_order(order, target, staged, adapter=adapter)
             state = await self._engine.state()
         confirmed = self._orders.confirms(_engine_read_of(state), target)
@@ -119,7 +119,7 @@
             )
         return state
 
-    async def until_changed(self, target: Target) -> None:
+    async def wait_until_changed(self, target: Target) -> None:
         """Wait until the engine no longer reports the target."""
         while True:
             await asyncio.sleep(ENGINE_POLL_INTERVAL_S)
@@ -129,7 +129,7 @@
 
     async def _send_order(
         self,
-        decision: GiveOrder,
+        decision: SendOrder,
         target: Target,
         staged: StagedWeights,
         *,
@@ -157,7 +157,7 @@
 
     def _raise_if_outdated(
         self,
-        decision: Loaded | Outdated | GiveOrder,
+        decision: Loaded | Outdated | SendOrder,
         target: Target,
     ) -> None:
         if isinstance(decision, Outdated):
--- a/packages/daemon/src/crowrudder_daemon/agent/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_role.py
@@ -16,7 +16,7 @@
 from crowrudder_daemon.agent._runs import RunsTask
 from crowrudder_daemon.agent._upstream import EngineClient, PlainClient
 from crowrudder_daemon.agent.weights import (
-    SnapshotCame,
+    SnapshotReceived,
     WeightsTask,
     is_withdrawn,
 )
@@ -144,7 +144,7 @@
 
     def bundle(self) -> bytes:
         """Return the bytes of the bundle in force."""
-        return self.knowledge.book.payload
+        return self.knowledge.active_config.payload
 
     def explain(self, customer: str, model: str) -> dict[str, Any]:
         """Raise NotImplementedError: agents route no requests."""
@@ -152,7 +152,7 @@
 
     def _on_snapshot(self, snapshot: Snapshot) -> None:
         if self.weights is not None:
-            self.weights.post(SnapshotCame(snapshot))
+            self.weights.post(SnapshotReceived(snapshot))
             return
         service = snapshot.placement.get(self._runtime.cfg.process.host)
         if service is not None:
--- a/packages/daemon/src/crowrudder_daemon/agent/_run_messages.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_run_messages.py
@@ -97,5 +97,5 @@
 
 
 @frozen
-class ForgetOld:
+class RemoveExpired:
     """Remove expired attempts and answers."""
--- a/packages/daemon/src/crowrudder_daemon/agent/_run_service.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_run_service.py
@@ -17,19 +17,19 @@
 )
 from crowrudder_daemon.agent._run_state import settled_message
 from crowrudder_model.messages import (
+    AcceptedCount,
     Attempt,
     AttemptKey,
     Cancel,
+    CapacityReply,
+    CapacityRequest,
     Permit,
     Report,
-    ReportAsk,
-    RoomAsk,
-    RoomReply,
-    RunDown,
-    RunUp,
-    SettleAsk,
+    ReportRequest,
+    RunClientMessage,
+    RunServerMessage,
     SettledState,
-    Taken,
+    SettleRequest,
 )
 from crowrudder_model.rpc import CANCEL, REPORTS, ROOM, RUN, SETTLE
 
@@ -75,7 +75,7 @@
         server.add(RUN, self._on_run)
         server.add(SETTLE, self._on_settle)
         server.add(CANCEL, self._on_cancel)
-        server.add(ROOM, self._on_room)
+        server.add(ROOM, self._on_capacity)
         server.add(REPORTS, self._on_reports)
 
     async def wait_for_readers(self) -> None:
@@ -89,9 +89,9 @@
 
     async def _on_run(
         self,
-        incoming: AsyncIterator[RunUp],
+        incoming: AsyncIterator[RunClientMessage],
         _context: object,
-    ) -> AsyncIterator[RunDown]:
+    ) -> AsyncIterator[RunServerMessage]:
         first = await anext(incoming, None)
         if first is None or first.attempt is None:
             return
@@ -108,8 +108,8 @@
 
     async def _track_reader(
         self,
-        events: AsyncIterator[RunDown],
-    ) -> AsyncIterator[RunDown]:
+        events: AsyncIterator[RunServerMessage],
+    ) -> AsyncIterator[RunServerMessage]:
         ended = asyncio.get_running_loop().create_future()
         self._readers.add(ended)
         try:
@@ -121,7 +121,7 @@
 
     async def _read_incoming(
         self,
-        incoming: AsyncIterator[RunUp],
+        incoming: AsyncIterator[RunClientMessage],
         key: AttemptKey,
     ) -> None:
         async for message in incoming:
@@ -131,24 +131,28 @@
                 case Attempt() | None:
                     return
 
-    async def _on_cancel(self, request: Cancel, _context: object) -> Taken:
+    async def _on_cancel(
+        self, request: Cancel, _context: object
+    ) -> AcceptedCount:
         self._runs.post(CancelReceived(request.key))
-        return Taken(count=1)
+        return AcceptedCount(count=1)
 
-    async def _on_room(self, request: RoomAsk, _context: object) -> RoomReply:
+    async def _on_capacity(
+        self, request: CapacityRequest, _context: object
+    ) -> CapacityReply:
         runs, admission = self._runs, self._runs.admission
         if runs.is_closed or request.service != runs.state.service:
-            return RoomReply(wait_s=NO_ROOM)
-        return RoomReply(
+            return CapacityReply(wait_s=NO_CAPACITY)
+        return CapacityReply(
             wait_s=admission.wait_s(request.customer, request.share),
             filled=(admission.running + admission.queued) / admission.slots,
         )
 
     async def _on_settle(
         self,
-        request: SettleAsk,
+        request: SettleRequest,
         _context: object,
-    ) -> AsyncIterator[RunDown]:
+    ) -> AsyncIterator[RunServerMessage]:
         if request.incarnation != self._runtime.incarnation:
             yield settled_message(SettledState.OTHER_INCARNATION)
             return
@@ -165,7 +169,7 @@
 
     async def _on_reports(
         self,
-        request: ReportAsk,
+        request: ReportRequest,
         _context: object,
     ) -> AsyncIterator[Report]:
         while True:
@@ -195,7 +199,7 @@
     def report(self, entry: str = '') -> Report:
         """Return a report of the agent's current state for one entry."""
         state = self._runs.state
-        generation, digest = self._knowledge.book.order
+        generation, digest = self._knowledge.active_config.order
         return Report(
             host=self._runtime.cfg.process.host,
             incarnation=self._runtime.incarnation,
@@ -228,4 +232,4 @@
     return sum(key.entry == entry for key in attempts)
 
 
-NO_ROOM = -1.0
+NO_CAPACITY = -1.0
--- a/packages/daemon/src/crowrudder_daemon/agent/_run_state.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_run_state.py
@@ -15,7 +15,7 @@
 from crowrudder_model.messages import (
     Attempt,
     Final,
-    RunDown,
+    RunServerMessage,
     Settled,
     SettledState,
 )
@@ -68,9 +68,9 @@
     )
 
 
-def settled_message(state: SettledState) -> RunDown:
+def settled_message(state: SettledState) -> RunServerMessage:
     """Return the message that reports the settled state of an attempt."""
-    return RunDown(settled=Settled(state=state))
+    return RunServerMessage(settled=Settled(state=state))
 
 
 def final_of(record: AttemptRecord, outcome: Outcome, message: str) -> Final:
--- a/packages/daemon/src/crowrudder_daemon/agent/_runs.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_runs.py
@@ -8,7 +8,7 @@
 from crowrudder_core.requests import (
     AdmissionQueue,
     AgentLedger,
-    Late,
+    DeadlineUnreachable,
     SlotAdmission,
     Stage,
     Start,
@@ -19,11 +19,11 @@
     AttemptReceived,
     CancelReceived,
     DrainRuns,
-    ForgetOld,
     OwnerLost,
     PauseRuns,
     PermitOverdue,
     PermitReceived,
+    RemoveExpired,
     ResumeRuns,
     RunEnded,
     SettleReceived,
@@ -39,11 +39,11 @@
     Attempt,
     AttemptKey,
     Final,
-    PermitAsk,
+    PermitRequest,
     Piece,
     Queued,
     Refusal,
-    RunDown,
+    RunServerMessage,
     SettledState,
 )
 
@@ -98,7 +98,7 @@
         item = waiting_of(attempt, self._now())
         refusal = self._refusal(attempt, item)
         if refusal is not None:
-            message.answers.add(RunDown(refusal=refusal))
+            message.answers.add(RunServerMessage(refusal=refusal))
             message.answers.close()
             return
         self._records[attempt.key] = AttemptRecord(
@@ -110,7 +110,7 @@
             ahead=self.admission.queued,
             wait_s=self._wait_s(attempt),
         )
-        message.answers.add(RunDown(queued=queued))
+        message.answers.add(RunServerMessage(queued=queued))
         dropped = self.admission.add(item)
         if dropped is not None:
             self._reject(dropped, 'queue_full')
@@ -231,7 +231,7 @@
         self._idle_waiters.append(message.idle)
         self._update_load()
 
-    def on_forget_old(self, _message: ForgetOld) -> None:
+    def on_remove_expired(self, _message: RemoveExpired) -> None:
         """Remove expired attempts and answers."""
         now = self._now()
         self._ledger.forget(now=now)
@@ -250,7 +250,7 @@
             return Refusal(reason='draining', retry_after_s=1)
         if attempt.service != self.state.service:
             return Refusal(reason='not_loaded', retry_after_s=1)
-        if not self.admission.in_time(item, now=self._now()):
+        if not self.admission.can_meet_deadline(item, now=self._now()):
             return Refusal(
                 reason='deadline_unreachable',
                 retry_after_s=self._retry_after_s(attempt),
@@ -263,7 +263,7 @@
             match self.admission.next(now=self._now()):
                 case Start(key):
                     self._request_permit(key)
-                case Late(key):
+                case DeadlineUnreachable(key):
                     self._reject(key, 'deadline_unreachable')
                 case None:
                     break
@@ -275,12 +275,12 @@
         if wanted and wanted != self.state.version:
             self._reject(key, 'other_version')
             return
-        if not self._ledger.ask(key, now=self._now()):
+        if not self._ledger.request_permit(key, now=self._now()):
             self._reject(key, 'deadline_passed')
             return
         record.version = self.state.version
-        request = PermitAsk(key=key, version=record.version)
-        record.answers.add(RunDown(permit_ask=request))
+        request = PermitRequest(key=key, version=record.version)
+        record.answers.add(RunServerMessage(permit_ask=request))
         loop = asyncio.get_running_loop()
         loop.call_later(PERMIT_TIMEOUT_S, self.post, PermitOverdue(key))
 
@@ -300,7 +300,7 @@
             reason=reason,
             retry_after_s=self._retry_after_s(record.attempt),
         )
-        record.answers.add(RunDown(refusal=refusal))
+        record.answers.add(RunServerMessage(refusal=refusal))
         record.answers.close()
         held = self.admission.holds(key)
         self.admission.leave(key)
@@ -324,7 +324,7 @@
             self._log.exception('run failed', extra={'step': 'run'})
             final = final_of(record, Outcome.FAILED, str(exc))
         finally:
-            record.answers.add(RunDown(final=final))
+            record.answers.add(RunServerMessage(final=final))
             record.answers.close()
             ran = final.outcome is not Outcome.NOT_RUN
             took_s = self._now() - started_at
@@ -348,7 +348,7 @@
             self.state.sent_bytes += len(event.text) + len(event.body)
             self._last_piece_at = self._now()
             record.pieces += 1
-            record.answers.add(RunDown(piece=event))
+            record.answers.add(RunServerMessage(piece=event))
         raise UpstreamError('no final message', step='run')
 
     def _assert_version(self, piece: Piece, version: str) -> None:
@@ -369,7 +369,7 @@
     async def _remove_expired_periodically(self) -> None:
         while True:
             await asyncio.sleep(CLEANUP_INTERVAL_S)
-            self.post(ForgetOld())
+            self.post(RemoveExpired())
 
     def _update_load(self) -> None:
         admission = self.admission
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_loading.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_loading.py
@@ -6,10 +6,10 @@
 import hashlib
 from typing import TYPE_CHECKING
 
-from crowrudder_core.transfer import may_change, predecessors
+from crowrudder_core.transfer import may_load, predecessors
 from crowrudder_daemon.agent._orders import StagedWeights
 from crowrudder_daemon.agent._run_messages import PauseRuns
-from crowrudder_daemon.chunks._sources import Asked
+from crowrudder_daemon.chunks._sources import VersionRef
 from crowrudder_model import CrowrudderError
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from crowrudder_daemon.agent._upstream import EngineClient, EngineState
     from crowrudder_daemon.agent.weights._goal import Goal
     from crowrudder_daemon.chunks._sources import PeerSource
-    from crowrudder_daemon.chunks._stock import EngineNote
+    from crowrudder_daemon.chunks._stock import EngineStatus
     from crowrudder_daemon.knowledge import Snapshot
 
 TURN_POLL_INTERVAL_S = 0.2
@@ -44,7 +44,7 @@
         orders: EngineOrderer,
         runs: RunsTask,
         peers: PeerSource,
-        note: EngineNote,
+        note: EngineStatus,
         on_progress: Callable[[str], None],
     ) -> None:
         self._engine = engine
@@ -67,7 +67,7 @@
         InvariantError
             When the weights aren't complete.
         """
-        await asyncio.to_thread(transfer.assert_whole)
+        await asyncio.to_thread(transfer.assert_complete)
         self._set_blocking_reason('hands the weights to the engine')
         await self._stage(transfer, goal.version.name)
         self._set_blocking_reason('waits for its turn in the rolling change')
@@ -90,7 +90,7 @@
         """
         staged = StagedWeights(chunks=0, digest=EMPTY_DIGEST)
         if transfer is not None:
-            await asyncio.to_thread(transfer.assert_whole)
+            await asyncio.to_thread(transfer.assert_complete)
             await self._stage(transfer, goal.version.name)
             staged = StagedWeights(
                 chunks=transfer.count,
@@ -133,7 +133,7 @@
             hosts=members,
             share=goal.service.rolling_share,
         )
-        version_ref = Asked(
+        version_ref = VersionRef(
             transfer.host, goal.version.name, transfer.manifest_digest
         )
         loaded: dict[str, str] = {}
@@ -142,7 +142,7 @@
             if answer is not None:
                 loaded[host] = answer
                 break
-        return may_change(
+        return may_load(
             goal.version.name,
             preceding_hosts,
             loaded,
@@ -150,7 +150,7 @@
         )
 
     async def _read_loaded_version(
-        self, address: str, version_ref: Asked
+        self, address: str, version_ref: VersionRef
     ) -> str | None:
         try:
             reply = await self._peers.stock(address, version_ref)
@@ -170,7 +170,7 @@
         self._set_blocking_reason('the engine is loading')
         # The version may have been dropped while the answers ended, and the
         # process may resume here after a long pause.
-        await asyncio.to_thread(transfer.assert_whole)
+        await asyncio.to_thread(transfer.assert_complete)
         manifest = transfer.manifest
         staged = StagedWeights(chunks=transfer.count, digest=manifest.digest)
         return await self._orders.load(goal.target, staged)
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_manifests.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_manifests.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from crowrudder_core.transfer import ManifestError, decode_manifest
-from crowrudder_daemon.chunks._sources import Asked
+from crowrudder_daemon.chunks._sources import VersionRef
 from crowrudder_model import PeerLostError, ranked
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
 
     async def _read_from_peer(self, artifact: Artifact, address: str) -> bytes:
         declared = artifact.manifest
-        version_ref = Asked(self._host, artifact.name, declared)
+        version_ref = VersionRef(self._host, artifact.name, declared)
         try:
             payload = await self._peers.manifest(address, version_ref)
             if payload:
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_origin_source.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_origin_source.py
@@ -29,7 +29,7 @@
         self._store = Fetcher(weights.store) if weights.store else None
         self._store_retry_at = 0.0
 
-    def distrust_store(self) -> None:
+    def on_bad_store_chunk(self) -> None:
         """Skip the store temporarily: it is down, incomplete or corrupt."""
         now = asyncio.get_running_loop().time()
         self._store_retry_at = now + STORE_BACKOFF_S
@@ -66,9 +66,9 @@
             try:
                 return await _fetch(self._store, path, on_piece)
             except NoSourceError:
-                self.distrust_store()
+                self.on_bad_store_chunk()
             except UpstreamError:
-                self.distrust_store()
+                self.on_bad_store_chunk()
                 raise
         return await _fetch(self._origin, path, on_piece)
 
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_task.py
@@ -25,11 +25,11 @@
 from crowrudder_daemon.agent.weights._progress_line import progress_line
 from crowrudder_daemon.chunks import Artifact
 from crowrudder_daemon.chunks._collect import Collector
-from crowrudder_daemon.chunks._shelf import Shelf
+from crowrudder_daemon.chunks._metrics import TransferMetrics
 from crowrudder_daemon.chunks._sources import PeerSource
-from crowrudder_daemon.chunks._stock import EngineNote, UploadSlots
+from crowrudder_daemon.chunks._stock import EngineStatus, UploadSlots
 from crowrudder_daemon.chunks._uploads import ChunkService
-from crowrudder_daemon.chunks._watch import WeightsWatch
+from crowrudder_daemon.chunks._version_store import VersionStore
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_model import CrowrudderError, InvariantError
 
@@ -49,7 +49,7 @@
 
 
 @frozen
-class SnapshotCame:
+class SnapshotReceived:
     """The configuration or the members changed."""
 
     snapshot: Snapshot
@@ -76,9 +76,9 @@
         self._snapshot = Snapshot()
         self._goal: Goal | None = None
         self._job: asyncio.Task[Any] | None = None
-        self._engine_status = EngineNote()
-        self._shelf = Shelf(runtime, weights)
-        self._watch = WeightsWatch(runtime, self._shelf)
+        self._engine_status = EngineStatus()
+        self._versions = VersionStore(runtime, weights)
+        self._watch = TransferMetrics(runtime, self._versions)
         self._downlink = _link_share(weights)
         self._uplink = _link_share(weights)
         self._peers = PeerSource(peers)
@@ -99,7 +99,7 @@
             on_progress=self._set_blocking_reason,
         )
         self._service = ChunkService(
-            self._shelf,
+            self._versions,
             self._engine_status,
             UploadSlots(weights.upload_slots),
             self._uplink,
@@ -138,7 +138,7 @@
         """Share of the declared version's chunks held, 0 to 1."""
         if self._goal and self.loaded == self.declared:
             return 1
-        transfer = self._shelf.transfers.get(self.declared)
+        transfer = self._versions.transfers.get(self.declared)
         return transfer.share if transfer else 0
 
     def status(self) -> list[dict[str, Any]]:
@@ -155,10 +155,10 @@
                 'origin_reasons': dict(transfer.origin.reasons),
                 'dropped': transfer.dropped,
             }
-            for name, transfer in self._shelf.transfers.items()
+            for name, transfer in self._versions.transfers.items()
         ]
 
-    def on_snapshot_came(self, message: SnapshotCame) -> None:
+    def on_snapshot_received(self, message: SnapshotReceived) -> None:
         """Update the goal and start or keep the job that reaches it."""
         self._snapshot = message.snapshot
         goal = goal_of(message.snapshot, self._host)
@@ -183,7 +183,7 @@
         if self._job is not None:
             self._job.cancel()
             self._job = None
-        self._shelf.drop_others(self._engine_status.wanted)
+        self._versions.drop_others(self._engine_status.wanted)
         goal = self._goal
         coroutine = self._reconcile(goal) if goal else self._withdraw()
         self._job = self.spawn(coroutine)
@@ -215,8 +215,8 @@
         if self._goal is None:
             return
         places = places_of(self._snapshot, self._goal.service.name)
-        for name in self._goal.names & self._shelf.transfers.keys():
-            self._shelf.transfers[name].on_hosts(places)
+        for name in self._goal.names & self._versions.transfers.keys():
+            self._versions.transfers[name].on_hosts(places)
 
     async def _reconcile(self, goal: Goal) -> None:
         """Load the goal's version, and reload it whenever the engine loses it."""
@@ -240,7 +240,7 @@
     async def _watch_engine(self, goal: Goal) -> None:
         """Wait until the engine leaves the target version, then pause the runs."""
         try:
-            await self._orders.until_changed(goal.target)
+            await self._orders.wait_until_changed(goal.target)
         except CrowrudderError as exc:
             self._log.warning('the engine was not read: %s', exc)
             return
@@ -275,14 +275,14 @@
     async def _collect(self, goal: Goal, artifact: Artifact) -> Transfer:
         """Collect all chunks of a version or an adapter."""
         self._set_blocking_reason('waits for the manifest')
-        payload = self._shelf.manifest(artifact.name, artifact.manifest)
+        payload = self._versions.manifest(artifact.name, artifact.manifest)
         if not payload:
             members = {
                 member.host: member.rpc_address
                 for member in self._snapshot.hosts_of(goal.service.name)
             }
             payload = await self._manifests.read(artifact, members)
-        transfer = self._shelf.open(
+        transfer = self._versions.open(
             payload,
             artifact,
             copies=goal.service.origin_copies,
@@ -295,7 +295,7 @@
             downlink=self._downlink,
             address_of=self._address_of,
             watch=self._watch,
-            own_stock=lambda: self._service.stock(artifact.name, transfer),
+            own_inventory=lambda: self._service.stock(artifact.name, transfer),
         )
         self._active_transfer = transfer
         try:
@@ -327,7 +327,9 @@
             state = self._runs.state
             now = asyncio.get_running_loop().time()
             for link in (self._downlink, self._uplink):
-                link.on_live(state.sent_bytes - seen, state.running, now=now)
+                link.on_live_traffic(
+                    state.sent_bytes - seen, state.running, now=now
+                )
             seen = state.sent_bytes
 
     def _address_of(self, host: str) -> str | None:
--- a/packages/daemon/src/crowrudder_daemon/chunks/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/__init__.py
@@ -2,30 +2,30 @@
 
 from crowrudder_daemon.chunks._artifact import Artifact
 from crowrudder_daemon.chunks._collect import Collector
-from crowrudder_daemon.chunks._shelf import Shelf
+from crowrudder_daemon.chunks._metrics import TransferMetrics
 from crowrudder_daemon.chunks._sources import (
-    Asked,
     NoSourceError,
     PeerSource,
+    VersionRef,
 )
 from crowrudder_daemon.chunks._stock import (
-    EngineNote,
+    EngineStatus,
     UploadSlots,
     apply_inventory,
 )
 from crowrudder_daemon.chunks._uploads import ChunkService
-from crowrudder_daemon.chunks._watch import WeightsWatch
+from crowrudder_daemon.chunks._version_store import VersionStore
 
 __all__ = (
     'Artifact',
-    'Asked',
+    'VersionRef',
     'ChunkService',
     'Collector',
-    'EngineNote',
+    'EngineStatus',
     'NoSourceError',
     'PeerSource',
-    'Shelf',
+    'VersionStore',
     'UploadSlots',
-    'WeightsWatch',
+    'TransferMetrics',
     'apply_inventory',
 )
--- a/packages/daemon/src/crowrudder_daemon/chunks/_collect.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_collect.py
@@ -7,24 +7,24 @@
 
 from crowrudder_core.transfer import FromOrigin, FromPeer
 from crowrudder_daemon.chunks._sources import (
-    Asked,
     NoSourceError,
     PeerAnswer,
+    VersionRef,
 )
 from crowrudder_daemon.chunks._stock import apply_inventory
 from crowrudder_model import CrowrudderError, InvariantError, PeerLostError
-from crowrudder_model.messages import ChunkAsk
+from crowrudder_model.messages import ChunkRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from crowrudder_core.transfer import LinkShare, Read, Transfer
+    from crowrudder_daemon.chunks._metrics import TransferMetrics
     from crowrudder_daemon.chunks._sources import (
         ChunkOrigin,
         PeerSource,
     )
-    from crowrudder_daemon.chunks._watch import WeightsWatch
-    from crowrudder_model.messages import StockReply
+    from crowrudder_model.messages import InventoryReply
 
 TICK_S = 0.05
 """Interval at which a transfer is advanced if no call ends, seconds."""
@@ -37,7 +37,7 @@
     ----------
     address_of
         Returns the address of a host's agent, None for a host that is gone.
-    own_stock
+    own_inventory
         Returns this host's inventory of the version.
     """
 
@@ -49,17 +49,17 @@
         origin: ChunkOrigin,
         downlink: LinkShare,
         address_of: Callable[[str], str | None],
-        watch: WeightsWatch,
-        own_stock: Callable[[], StockReply],
+        watch: TransferMetrics,
+        own_inventory: Callable[[], InventoryReply],
     ) -> None:
-        self._own_stock = own_stock
+        self._own_inventory = own_inventory
         self._transfer = transfer
         self._peers = peers
         self._origin = origin
         self._downlink = downlink
         self._address_of = address_of
         self._watch = watch
-        self._version_ref = Asked(
+        self._version_ref = VersionRef(
             transfer.host,
             transfer.manifest.version,
             transfer.manifest_digest,
@@ -84,7 +84,7 @@
         now = self._now()
         for read in self._transfer.overdue(now=now):
             self._cancel_stalled(read)
-        for host in self._transfer.peers_to_ask(now=now):
+        for host in self._transfer.peers_to_query(now=now):
             self._spawn(self._query_inventory(host))
         for read in self._transfer.next_reads(now=now):
             self._reads[read] = self._spawn(self._read(read))
@@ -118,7 +118,7 @@
                 raise PeerLostError('not a member', step='stock', peer=host)
             reply = await self._peers.stock(address, self._version_ref)
         except CrowrudderError:
-            self._transfer.on_silence(host, now=self._now())
+            self._transfer.on_no_answer(host, now=self._now())
             return
         self._apply_inventory(reply)
 
@@ -151,12 +151,12 @@
         address = self._address_of(read.host)
         if address is None:
             raise PeerLostError('not a member', step='chunk', peer=read.host)
-        request = ChunkAsk(
+        request = ChunkRequest(
             host=self._version_ref.host,
             version=self._version_ref.version,
             manifest=self._version_ref.manifest,
             index=read.index,
-            stock=self._own_stock(),
+            stock=self._own_inventory(),
         )
 
         async def on_piece(size: int) -> None:
@@ -183,7 +183,7 @@
             )
             return
         if not self._accept(read, payload):
-            self._origin.distrust_store()
+            self._origin.on_bad_store_chunk()
 
     def _record_bytes(self, read: Read, size: int) -> None:
         """Record received bytes of the origin, which limits its own rate."""
@@ -191,7 +191,7 @@
 
     def _reserve_link(self, read: Read, size: int) -> float:
         """Record received bytes; return how long the link is busy, in seconds."""
-        self._transfer.on_moved(read, now=self._now(), size=size)
+        self._transfer.on_bytes_received(read, now=self._now(), size=size)
         return self._downlink.reserve(size, now=self._now())
 
     def _accept(self, read: Read, payload: bytes) -> bool:
@@ -208,7 +208,7 @@
             self._watch.corrupted(self._version_ref.version, read)
         return is_verified
 
-    def _apply_inventory(self, reply: StockReply) -> None:
+    def _apply_inventory(self, reply: InventoryReply) -> None:
         apply_inventory(self._transfer, reply, now=self._now())
 
     def _spawn(self, call: Any) -> asyncio.Task[None]:
--- a/packages/daemon/src/crowrudder_daemon/chunks/_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_metrics.py
@@ -11,19 +11,19 @@
     from collections.abc import Mapping
 
     from crowrudder_core.transfer import Read
-    from crowrudder_daemon.chunks._shelf import Shelf
+    from crowrudder_daemon.chunks._version_store import VersionStore
     from crowrudder_daemon.process import Runtime
     from crowrudder_model import CrowrudderError
 
 
-class WeightsWatch:
+class TransferMetrics:
     """Counts the outcomes of reads and logs failures."""
 
-    def __init__(self, runtime: Runtime, shelf: Shelf) -> None:
+    def __init__(self, runtime: Runtime, versions: VersionStore) -> None:
         metrics = runtime.metrics
         self._log = runtime.log
         self._metrics = metrics
-        self._shelf = shelf
+        self._versions = versions
         self._bytes = metrics.counter(
             'weights_read_bytes',
             'Verified bytes of weights read.',
@@ -46,7 +46,7 @@
         metrics.gauge(
             'weights_held_bytes',
             'Bytes of chunks held in memory.',
-            lambda: float(shelf.store.held_bytes),
+            lambda: float(versions.store.held_bytes),
         )
         metrics.gauges(
             'weights_share',
@@ -104,21 +104,21 @@
     def _shares(self) -> list[tuple[Mapping[str, str], float]]:
         return [
             ({'version': name}, transfer.share)
-            for name, transfer in self._shelf.transfers.items()
+            for name, transfer in self._versions.transfers.items()
         ]
 
     def _rates(self) -> list[tuple[Mapping[str, str], float]]:
         now = time.monotonic()
         return [
             ({'version': name}, transfer.progress.rate(now))
-            for name, transfer in self._shelf.transfers.items()
+            for name, transfer in self._versions.transfers.items()
         ]
 
     def _remaining(self) -> list[tuple[Mapping[str, str], float]]:
         now = time.monotonic()
         remaining = {
             name: transfer.progress.left_s(now)
-            for name, transfer in self._shelf.transfers.items()
+            for name, transfer in self._versions.transfers.items()
         }
         return [
             ({'version': name}, left_s)
--- a/packages/daemon/src/crowrudder_daemon/chunks/_sources.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_sources.py
@@ -8,10 +8,10 @@
 
 from crowrudder_model import CrowrudderError
 from crowrudder_model.messages import (
-    ChunkAsk,
-    ManifestAsk,
-    StockAsk,
-    StockReply,
+    ChunkRequest,
+    InventoryReply,
+    InventoryRequest,
+    ManifestRequest,
 )
 from crowrudder_model.rpc import CHUNK, MANIFEST, STOCK
 
@@ -32,12 +32,12 @@
     """A peer's answer: the chunk or a refusal, and the peer's inventory."""
 
     payload: bytes
-    stock: StockReply | None
+    stock: InventoryReply | None
     refused: bool
 
 
 @frozen
-class Asked:
+class VersionRef:
     """The identification of a version in requests to other agents."""
 
     host: str
@@ -51,9 +51,9 @@
     def __init__(self, peers: PeerClient) -> None:
         self._peers = peers
 
-    async def stock(self, address: str, asked: Asked) -> StockReply:
+    async def stock(self, address: str, asked: VersionRef) -> InventoryReply:
         """Request an agent's inventory of a version."""
-        request = StockAsk(
+        request = InventoryRequest(
             host=asked.host,
             version=asked.version,
             manifest=asked.manifest,
@@ -65,16 +65,18 @@
             timeout_s=STOCK_TIMEOUT_S,
         )
 
-    async def manifest(self, address: str, asked: Asked) -> bytes:
+    async def manifest(self, address: str, asked: VersionRef) -> bytes:
         """Request a manifest; empty if the agent does not have it."""
-        request = ManifestAsk(version=asked.version, manifest=asked.manifest)
+        request = ManifestRequest(
+            version=asked.version, manifest=asked.manifest
+        )
         reply = await self._peers.call(address, MANIFEST, request)
         return reply.payload
 
     async def chunk(
         self,
         address: str,
-        request: ChunkAsk,
+        request: ChunkRequest,
         on_piece: Callable[[int], Awaitable[None]],
     ) -> PeerAnswer:
         """Read a chunk piece by piece.
@@ -108,5 +110,5 @@
     ) -> bytes:
         """Read a chunk; ``on_piece`` receives the size of each piece."""
 
-    def distrust_store(self) -> None:
+    def on_bad_store_chunk(self) -> None:
         """Stop reading from a store whose copy returned wrong bytes."""
--- a/packages/daemon/src/crowrudder_daemon/chunks/_stock.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_stock.py
@@ -6,9 +6,9 @@
 
 from attrs import define
 
-from crowrudder_core.transfer import Stock, pack, unpack
+from crowrudder_core.transfer import PeerInventory, pack, unpack
 from crowrudder_model import InvariantError
-from crowrudder_model.messages import StockReply
+from crowrudder_model.messages import InventoryReply
 
 if TYPE_CHECKING:
     from crowrudder_core.transfer import Transfer
@@ -36,7 +36,7 @@
 
 
 @define
-class EngineNote:
+class EngineStatus:
     """State of this host's engine that is reported to other agents."""
 
     loaded: str = ''
@@ -45,12 +45,12 @@
 
 
 def apply_inventory(
-    transfer: Transfer, reply: StockReply, *, now: float
+    transfer: Transfer, reply: InventoryReply, *, now: float
 ) -> None:
     """Apply another agent's inventory to a transfer of the same version."""
     if reply.version != transfer.manifest.version:
         return
-    stock = Stock(
+    stock = PeerInventory(
         host=reply.host,
         chunks=unpack(reply.chunks, transfer.count),
         passes=unpack(reply.passes, transfer.count),
@@ -58,7 +58,7 @@
         slots=reply.slots,
         wants=reply.wants,
     )
-    transfer.on_stock(stock, now=now)
+    transfer.on_inventory(stock, now=now)
 
 
 def build_inventory(
@@ -67,14 +67,14 @@
     transfer: Transfer | None,
     *,
     slots: UploadSlots,
-    note: EngineNote,
-) -> StockReply:
+    note: EngineStatus,
+) -> InventoryReply:
     """Return this host's inventory of a version."""
     held = passes = b''
     if transfer is not None:
-        held = pack(transfer.at_hand, transfer.count)
+        held = pack(transfer.servable_chunks, transfer.count)
         passes = pack(transfer.origin.passes, transfer.count)
-    return StockReply(
+    return InventoryReply(
         host=host,
         version=version,
         chunks=held,
