--- a/packages/daemon/src/crowrudder_daemon/chunks/_uploads.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_uploads.py
@@ -7,12 +7,12 @@
 
 from crowrudder_daemon.chunks._stock import apply_inventory, build_inventory
 from crowrudder_model.messages import (
-    ChunkAsk,
     ChunkPiece,
-    ManifestAsk,
+    ChunkRequest,
+    InventoryReply,
+    InventoryRequest,
     ManifestReply,
-    StockAsk,
-    StockReply,
+    ManifestRequest,
 )
 from crowrudder_model.rpc import CHUNK, MANIFEST, STOCK
 
@@ -20,8 +20,8 @@
     from collections.abc import AsyncIterator, Callable
 
     from crowrudder_core.transfer import LinkShare, Transfer
-    from crowrudder_daemon.chunks._shelf import Shelf
-    from crowrudder_daemon.chunks._stock import EngineNote, UploadSlots
+    from crowrudder_daemon.chunks._stock import EngineStatus, UploadSlots
+    from crowrudder_daemon.chunks._version_store import VersionStore
     from crowrudder_daemon.rpc import PeerServer
 
 PIECE_BYTES = 256 * 1024
@@ -43,13 +43,13 @@
 
     def __init__(
         self,
-        shelf: Shelf,
-        note: EngineNote,
+        versions: VersionStore,
+        note: EngineStatus,
         slots: UploadSlots,
         uplink: LinkShare,
         on_sent: Callable[[int], None],
     ) -> None:
-        self._shelf = shelf
+        self._versions = versions
         self._note = note
         self._slots = slots
         self._uplink = uplink
@@ -57,31 +57,33 @@
 
     def serve(self, server: PeerServer) -> None:
         """Register the calls with the server."""
-        server.add(STOCK, self.on_stock)
+        server.add(STOCK, self.on_inventory)
         server.add(MANIFEST, self.on_manifest)
         server.add(CHUNK, self.on_chunk)
 
-    async def on_stock(self, request: StockAsk, _context: object) -> StockReply:
+    async def on_inventory(
+        self, request: InventoryRequest, _context: object
+    ) -> InventoryReply:
         """Return the inventory of a version."""
-        transfer = self._shelf.find(request.version, request.manifest)
+        transfer = self._versions.find(request.version, request.manifest)
         return self.stock(request.version, transfer)
 
     async def on_manifest(
         self,
-        request: ManifestAsk,
+        request: ManifestRequest,
         _context: object,
     ) -> ManifestReply:
         """Return a manifest."""
-        payload = self._shelf.manifest(request.version, request.manifest)
+        payload = self._versions.manifest(request.version, request.manifest)
         return ManifestReply(payload=payload)
 
     async def on_chunk(
         self,
-        request: ChunkAsk,
+        request: ChunkRequest,
         _context: object,
     ) -> AsyncIterator[ChunkPiece]:
         """Send a chunk; its slot is held until the last piece is sent."""
-        transfer = self._shelf.find(request.version, request.manifest)
+        transfer = self._versions.find(request.version, request.manifest)
         if transfer is not None and request.stock is not None:
             now = asyncio.get_running_loop().time()
             apply_inventory(transfer, request.stock, now=now)
@@ -102,7 +104,7 @@
     async def _paced(
         self,
         payload: bytes,
-        stock: StockReply,
+        stock: InventoryReply,
     ) -> AsyncIterator[ChunkPiece]:
         """Yield a chunk in pieces, at the rate that the uplink allows.
 
@@ -122,10 +124,10 @@
             yield ChunkPiece(payload=piece)
         self._on_sent(len(payload))
 
-    def stock(self, version: str, transfer: Transfer | None) -> StockReply:
+    def stock(self, version: str, transfer: Transfer | None) -> InventoryReply:
         """Return the inventory of a version."""
         return build_inventory(
-            self._shelf.host,
+            self._versions.host,
             version,
             transfer,
             slots=self._slots,
--- a/packages/daemon/src/crowrudder_daemon/chunks/_shelf.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_version_store.py
@@ -12,7 +12,7 @@
     Place,
     Transfer,
     decode_manifest,
-    transfer_of,
+    start_transfer,
 )
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 """Number of unwanted versions whose chunks are still served to other hosts."""
 
 
-class Shelf:
+class VersionStore:
     """Holds transfers and manifests by version, over one bounded store.
 
     The previous version is kept for other hosts while memory allows: a host
@@ -133,7 +133,7 @@
         copies: int,
         changes: Mapping[str, Any],
     ) -> Transfer:
-        return transfer_of(
+        return start_transfer(
             manifest,
             manifest_digest=declared,
             host=self.host,
--- a/packages/daemon/src/crowrudder_daemon/entry/_admission.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_admission.py
@@ -7,7 +7,7 @@
 from attrs import define, evolve, field
 
 from crowrudder_core.limits import ConcurrencyShares, TokenBucket
-from crowrudder_core.requests import REMEMBER_S
+from crowrudder_core.requests import CLAIM_RETENTION_S
 from crowrudder_daemon.entry._parts import Ended, refused
 
 if TYPE_CHECKING:
@@ -57,7 +57,9 @@
             return refused('overloaded', 503, RETRY_AFTER_S)
         if not head.idempotent:
             # The retention window starts after the deadline, the latest end.
-            self._seen[head.request_id] = now + head.budget_s + REMEMBER_S
+            self._seen[head.request_id] = (
+                now + head.budget_s + CLAIM_RETENTION_S
+            )
         priority = max(head.priority, customer.priority_floor)
         return evolve(req, head=evolve(head, priority=priority))
 
@@ -87,7 +89,7 @@
             bucket = TokenBucket(
                 rate=customer.rate_per_s,
                 burst=float(customer.burst),
-                at=now,
+                refilled_at=now,
             )
             self._buckets[customer] = bucket
         if bucket.take(1, now=now):
--- a/packages/daemon/src/crowrudder_daemon/entry/_agents.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_agents.py
@@ -9,7 +9,7 @@
 from crowrudder_core.routing import Need, Router
 from crowrudder_daemon.entry._attempt_call import AgentRef
 from crowrudder_model import PeerLostError
-from crowrudder_model.messages import Cancel, RoomAsk, RoomReply
+from crowrudder_model.messages import Cancel, CapacityReply, CapacityRequest
 from crowrudder_model.rpc import CANCEL, ROOM
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 """Agents whose current capacity is queried for one selection."""
 
 CAPACITY_TIMEOUT_S = 0.05
-NO_CAPACITY = RoomReply(wait_s=-1.0)
+NO_CAPACITY = CapacityReply(wait_s=-1.0)
 CANCEL_TIMEOUT_S = 1.0
 
 
@@ -53,14 +53,14 @@
         return self._agent(choice.host, choice.wait_s) if choice else None
 
     async def choose_with_query(
-        self, need: Need, request: RoomAsk
+        self, need: Need, request: CapacityRequest
     ) -> AgentRef | None:
         """Choose an agent; query a few if the reports may be stale."""
         choice = self.router.choose(need, now=_now())
         if choice is None:
             return None
         known = self._agent(choice.host, choice.wait_s)
-        if choice.sure:
+        if choice.is_certain:
             return known
         return (
             await self.choose_by_query(need, request, first=choice.host)
@@ -70,19 +70,19 @@
     async def choose_by_query(
         self,
         need: Need,
-        request: RoomAsk,
+        request: CapacityRequest,
         *,
         first: str = '',
     ) -> AgentRef | None:
         """Query the capacity of a few agents and choose among them."""
-        hosts = self.router.draw(need, CAPACITY_QUERY_COUNT, now=_now())
+        hosts = self.router.sample(need, CAPACITY_QUERY_COUNT, now=_now())
         if first:
             others = [host for host in hosts if host != first]
             hosts = [first, *others[: CAPACITY_QUERY_COUNT - 1]]
         replies = await asyncio.gather(
             *(self._request_capacity(host, request) for host in hosts),
         )
-        choice = self.router.choose_by_word(
+        choice = self.router.choose_by_capacity(
             need,
             dict(zip(hosts, replies, strict=True)),
             first=first,
@@ -123,7 +123,7 @@
     def on_refused(self, agent: AgentRef, refusal: Refusal) -> None:
         """Remove a draining agent, regardless of its last report."""
         if refusal.reason == 'draining':
-            self.router.on_gone(agent.host)
+            self.router.on_agent_gone(agent.host)
 
     def on_failed(self, agent: AgentRef, exc: PeerLostError) -> None:
         """Avoid an agent after a failed call."""
@@ -157,7 +157,9 @@
             wait_s,
         )
 
-    async def _request_capacity(self, host: str, request: RoomAsk) -> RoomReply:
+    async def _request_capacity(
+        self, host: str, request: CapacityRequest
+    ) -> CapacityReply:
         try:
             return await self._peers.call(
                 self._addresses[host],
--- a/packages/daemon/src/crowrudder_daemon/entry/_attempt_call.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_attempt_call.py
@@ -7,7 +7,12 @@
 
 from attrs import define, field, frozen
 
-from crowrudder_core.requests import Attach, MoveOn, RequestOwner, Settle
+from crowrudder_core.requests import (
+    Attach,
+    RequestOwner,
+    RetryElsewhere,
+    Settle,
+)
 from crowrudder_daemon.entry._parts import Ended
 from crowrudder_model import Outcome, PeerLostError, UpstreamError
 from crowrudder_model.messages import (
@@ -15,15 +20,15 @@
     AttemptKey,
     Final,
     Permit,
-    PermitAsk,
+    PermitRequest,
     Piece,
     Queued,
     Refusal,
-    RunDown,
-    RunUp,
-    SettleAsk,
+    RunClientMessage,
+    RunServerMessage,
     Settled,
     SettledState,
+    SettleRequest,
 )
 from crowrudder_model.rpc import RUN, SETTLE
 
@@ -119,12 +124,12 @@
 
     async def _exchange(
         self,
-        stream: PeerStream[RunUp, RunDown],
+        stream: PeerStream[RunClientMessage, RunServerMessage],
     ) -> Ended | None:
         attempt = self._request.attempt_message(self)
         try:
             async with asyncio.timeout(FIRST_MESSAGE_TIMEOUT_S):
-                await stream.send(RunUp(attempt=attempt))
+                await stream.send(RunClientMessage(attempt=attempt))
                 first = await stream.read()
         except TimeoutError as exc:
             raise self._no_answer('run') from exc
@@ -140,17 +145,17 @@
 
     async def _follow(
         self,
-        events: PeerStream[Any, RunDown],
-        permits: PeerStream[RunUp, RunDown] | None,
+        events: PeerStream[Any, RunServerMessage],
+        permits: PeerStream[RunClientMessage, RunServerMessage] | None,
     ) -> Ended | None:
         async for event in events:
             self.progress_at = _now()
             match event.body:
-                case PermitAsk(version=version) if permits is not None:
+                case PermitRequest(version=version) if permits is not None:
                     granted = self._request.grant(self, version)
                     self._granted_at = _now()
                     permit = Permit(key=self.key, granted=granted)
-                    await permits.send(RunUp(permit=permit))
+                    await permits.send(RunClientMessage(permit=permit))
                 case Piece() as piece:
                     self._accept_piece(piece)
                 case Refusal() as refusal:
@@ -229,7 +234,7 @@
     async def _resolve_lost(self, exc: PeerLostError) -> Ended | None:
         """Determine the outcome of an attempt whose stream broke."""
         match self._request.owner.lost(self.key):
-            case MoveOn():
+            case RetryElsewhere():
                 return None
             case Settle():
                 return await self._settle(exc)
@@ -251,7 +256,7 @@
         return self._ended_unless_retry(owner.unreachable(self.key), str(exc))
 
     async def _settle_once(self) -> Ended | None:
-        request = SettleAsk(
+        request = SettleRequest(
             key=self.key,
             incarnation=self.agent.incarnation,
             next_index=self.next_index,
@@ -271,7 +276,7 @@
 
     async def _settled_state(
         self,
-        stream: PeerStream[SettleAsk, RunDown],
+        stream: PeerStream[SettleRequest, RunServerMessage],
     ) -> SettledState:
         try:
             async with asyncio.timeout(FIRST_MESSAGE_TIMEOUT_S):
@@ -283,10 +288,10 @@
         return first.body.state
 
     def _ended_unless_retry(
-        self, decision: MoveOn | Outcome, message: str
+        self, decision: RetryElsewhere | Outcome, message: str
     ) -> Ended | None:
         match decision:
-            case MoveOn():
+            case RetryElsewhere():
                 return None
             case outcome:
                 return Ended(
--- a/packages/daemon/src/crowrudder_daemon/entry/_caller_request.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_caller_request.py
@@ -16,7 +16,7 @@
 
 LOWEST_PRIORITY = 9
 DEFAULT_PRIORITY = 5
-MOST_TOKENS = 100_000
+MAX_TOKENS = 100_000
 MAX_DEADLINE_MS = 3_600_000
 PREFIX_LENGTH = 32
 _ID = re.compile('[A-Za-z0-9._-]{1,128}')
@@ -47,7 +47,7 @@
     budget_s: float
     idempotent: bool
     priority: int
-    id_made_here: bool = False
+    id_generated: bool = False
     """Whether the entry generated the id, so that nobody else knows it."""
 
 
@@ -122,7 +122,7 @@
     )
     return CallHead(
         request_id=request_id,
-        id_made_here=not given_id,
+        id_generated=not given_id,
         customer=customer,
         budget_s=budget_ms / 1000,
         idempotent=headers.get('X-Idempotent', '').lower() == 'true',
@@ -147,8 +147,8 @@
         completion = msgspec.json.decode(body, type=CompletionBody)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
         raise _bad_request(f'the body is not a completion: {exc}') from exc
-    if not 1 <= completion.max_tokens <= MOST_TOKENS:
-        raise _bad_request(f'max_tokens must be 1 to {MOST_TOKENS}')
+    if not 1 <= completion.max_tokens <= MAX_TOKENS:
+        raise _bad_request(f'max_tokens must be 1 to {MAX_TOKENS}')
     return completion
 
 
--- a/packages/daemon/src/crowrudder_daemon/entry/_claims.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_claims.py
@@ -8,14 +8,14 @@
 from attrs import frozen
 
 from crowrudder_core.requests import (
-    REMEMBER_S,
-    ClaimCount,
-    Place,
-    Vote,
-    homes_of,
+    CLAIM_RETENTION_S,
+    ClaimResult,
+    ClaimTally,
+    VoterCandidate,
+    voters_of,
 )
 from crowrudder_model import CrowrudderError
-from crowrudder_model.messages import ClaimAsk, ClaimState, ReleaseAsk
+from crowrudder_model.messages import ClaimRequest, ClaimState, ReleaseRequest
 from crowrudder_model.rpc import CLAIM, RELEASE
 
 if TYPE_CHECKING:
@@ -60,11 +60,12 @@
     if len(suspected) == 1:
         agents.pop(suspected[0])
     candidates = (
-        Place(host, member.failure_domain) for host, member in agents.items()
+        VoterCandidate(host, member.failure_domain)
+        for host, member in agents.items()
     )
     return {
         host: agents[host].rpc_address
-        for host in homes_of(request_id, candidates)
+        for host in voters_of(request_id, candidates)
     }
 
 
@@ -77,14 +78,14 @@
     claim: Claim,
     *,
     budget_s: float,
-) -> Vote:
+) -> ClaimResult:
     """Send the claim to all voters; return once the tally is decided."""
-    tally = ClaimCount(tuple(claim.addresses))
-    request = ClaimAsk(
+    tally = ClaimTally(tuple(claim.addresses))
+    request = ClaimRequest(
         request_id=claim.request_id,
         owner=claim.owner,
         serial=claim.serial,
-        keep_s=budget_s + REMEMBER_S,
+        keep_s=budget_s + CLAIM_RETENTION_S,
     )
     jobs = [
         asyncio.ensure_future(_request_claim(peers, voter, address, request))
@@ -94,14 +95,14 @@
     # still recorded the claim, which only adds redundancy.
     for answered in asyncio.as_completed(jobs):
         vote = tally.take(*await answered)
-        if vote is not Vote.OPEN:
+        if vote is not ClaimResult.OPEN:
             return vote
     return tally.close()
 
 
 async def release_claim(peers: PeerClient, claim: Claim) -> None:
     """Release an id that provably did not run."""
-    request = ReleaseAsk(
+    request = ReleaseRequest(
         request_id=claim.request_id,
         owner=claim.owner,
         serial=claim.serial,
@@ -119,7 +120,7 @@
     peers: PeerClient,
     voter: str,
     address: str,
-    request: ClaimAsk,
+    request: ClaimRequest,
 ) -> tuple[str, ClaimState]:
     try:
         reply = await peers.call(
--- a/packages/daemon/src/crowrudder_daemon/entry/_execution_owner.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_execution_owner.py
@@ -12,7 +12,7 @@
     from crowrudder_daemon.entry._claims import Claim
     from crowrudder_daemon.entry._parts import Ended
     from crowrudder_daemon.knowledge import Snapshot
-    from crowrudder_model.messages import RoomAsk
+    from crowrudder_model.messages import CapacityRequest
 
 
 class ExecutionOwner(Protocol):
@@ -33,7 +33,7 @@
     def share_of(self, customer: str) -> float:
         """Return the share of the slots that is declared for a customer."""
 
-    def capacity_request(self, req: CallerRequest) -> RoomAsk:
+    def capacity_request(self, req: CallerRequest) -> CapacityRequest:
         """Return the capacity request for a caller's request."""
 
     def on_fault(self, exc: Exception) -> None:
@@ -42,5 +42,5 @@
     def release_id(self, request_id: str, claim: Claim | None) -> None:
         """Release an id that never ran, here and at its voters."""
 
-    def note_end(self, ended: Ended) -> None:
+    def record_end(self, ended: Ended) -> None:
         """Count a final outcome."""
--- a/packages/daemon/src/crowrudder_daemon/entry/_handlers.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_handlers.py
@@ -26,7 +26,10 @@
     parse_head,
 )
 from crowrudder_daemon.entry._parts import Ended
-from crowrudder_daemon.entry._requests import CallerLost, RequestCame
+from crowrudder_daemon.entry._requests import (
+    CallerDisconnected,
+    RequestReceived,
+)
 from crowrudder_model import Outcome
 from crowrudder_model.messages import Piece
 
@@ -132,7 +135,7 @@
         self._request_id = answer_request_id(self.request.headers)
 
     def on_connection_close(self) -> None:
-        self._requests.post(CallerLost(self._parts))
+        self._requests.post(CallerDisconnected(self._parts))
         self._on_answer_ended()
 
     def finish(
@@ -236,7 +239,7 @@
         except BadRequestError as exc:
             self._refuse(exc)
             return
-        self._requests.post(RequestCame(req, self._parts))
+        self._requests.post(RequestReceived(req, self._parts))
         if req.completion is not None and req.completion.stream:
             await self._stream()
         else:
@@ -306,7 +309,7 @@
         except BadRequestError as exc:
             self._refuse(exc)
             return
-        self._requests.post(RequestCame(req, self._parts))
+        self._requests.post(RequestReceived(req, self._parts))
         pieces, ended = await self._collect()
         if ended.outcome is not Outcome.ANSWERED:
             self._finish_ended(ended)
--- a/packages/daemon/src/crowrudder_daemon/entry/_links.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_links.py
@@ -10,9 +10,9 @@
 
 from crowrudder_core.routing import covered
 from crowrudder_daemon._task import Task
-from crowrudder_daemon.knowledge import PeerAnswered, PeerSilent
+from crowrudder_daemon.knowledge import PeerAnswered, PeerUnreachable
 from crowrudder_model import CrowrudderError
-from crowrudder_model.messages import Report, ReportAsk
+from crowrudder_model.messages import Report, ReportRequest
 from crowrudder_model.rpc import REPORTS
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 
 
 @frozen
-class ReportCame:
+class ReportReceived:
     """An agent at this address sent a report."""
 
     report: Report
@@ -40,13 +40,13 @@
 
 
 @frozen
-class LinksWanted:
+class StreamsWanted:
     """Open streams to exactly these agents, as (host, address) pairs."""
 
     addresses: tuple[tuple[str, str], ...]
 
 
-class LinksTask(Task):
+class ReportStreamsTask(Task):
     """Owns the report streams and forwards reports to the consumer."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self._knowledge = knowledge
         self._links: dict[tuple[str, str], asyncio.Task[Any]] = {}
 
-    def on_links_wanted(self, message: LinksWanted) -> None:
+    def on_streams_wanted(self, message: StreamsWanted) -> None:
         """Open missing streams and close those no longer wanted."""
         for link in set(self._links).difference(message.addresses):
             self._links.pop(link).cancel()
@@ -73,7 +73,7 @@
                 self._links[link] = self.spawn(self._follow(*link))
 
     async def _follow(self, host: str, address: str) -> None:
-        request = ReportAsk(
+        request = ReportRequest(
             host=self._runtime.cfg.process.host,
             interval_s=REPORT_INTERVAL_S,
             entry=self._runtime.incarnation,
@@ -82,23 +82,25 @@
             stream = self._peers.open(address, REPORTS, request)
             try:
                 async for report in stream:
-                    self._consumer.post(ReportCame(report, address))
+                    self._consumer.post(ReportReceived(report, address))
                     self._notify_knowledge(PeerAnswered(host))
             except CrowrudderError as exc:
                 self._log.debug('reports ended: %s', exc)
-                self._notify_knowledge(PeerSilent(host, str(exc)))
+                self._notify_knowledge(PeerUnreachable(host, str(exc)))
             finally:
                 stream.cancel()
             self._consumer.post(AgentLost(host))
             await asyncio.sleep(RECONNECT_DELAY_S)
 
-    def _notify_knowledge(self, message: PeerAnswered | PeerSilent) -> None:
+    def _notify_knowledge(
+        self, message: PeerAnswered | PeerUnreachable
+    ) -> None:
         """Post to the knowledge task too, which informs other processes."""
         if self._knowledge is not None:
             self._knowledge.post(message)
 
 
-def links_of(snapshot: Snapshot, host: str) -> LinksWanted:
+def links_of(snapshot: Snapshot, host: str) -> StreamsWanted:
     """Return the agents that an entry opens streams to, for each service."""
     entries = [member.host for member in snapshot.by_role('entry')]
     by_service: defaultdict[str, list[str]] = defaultdict(list)
@@ -106,7 +108,7 @@
     for name in agents:
         service = snapshot.placement.get(name)
         by_service[service.name if service else ''].append(name)
-    return LinksWanted(
+    return StreamsWanted(
         tuple(
             (known, agents[known].rpc_address)
             for hosts in by_service.values()
--- a/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
@@ -7,7 +7,7 @@
 
 from attrs import define, evolve, field
 
-from crowrudder_core.requests import RequestOwner, Vote
+from crowrudder_core.requests import ClaimResult, RequestOwner
 from crowrudder_core.routing import Need
 from crowrudder_daemon.entry._attempt_call import AttemptCall
 from crowrudder_daemon.entry._caller_request import with_payload
@@ -22,7 +22,7 @@
     from crowrudder_daemon.entry._execution_owner import ExecutionOwner
     from crowrudder_daemon.rpc import PeerClient
 
-MOST_AT_ONCE = 2
+MAX_AT_ONCE = 2
 """Maximum concurrent attempts of one request, queued or running."""
 
 FREE_RETRY_REASONS = frozenset(('draining', 'not_loaded', 'other_version'))
@@ -37,7 +37,7 @@
 
 
 @define(eq=False)
-class Drive:
+class RequestExecution:
     """The execution of one request; owned by the requests task."""
 
     req: CallerRequest
@@ -76,7 +76,7 @@
 
     def withdraw(self) -> bool:
         """Drop work of a disconnected caller; return whether it is allowed."""
-        if self.owner.permit_out and not self.owner.idempotent:
+        if self.owner.has_outstanding_permit and not self.owner.idempotent:
             return False
         if self.owner.closed is None:
             self._close(Outcome.NOT_RUN)
@@ -157,7 +157,7 @@
     async def _claim_id(self, left_s: float) -> Ended | None:
         """Claim the id, so that it can't also run through another entry."""
         head = self.req.head
-        if head.idempotent or head.id_made_here:
+        if head.idempotent or head.id_generated:
             return None
         self.claim = Claim(
             head.request_id,
@@ -171,11 +171,11 @@
         )
         vote = await acquire_claim(self._peers, self.claim, budget_s=left_s)
         match vote:
-            case Vote.HELD:
+            case ClaimResult.HELD:
                 return None
-            case Vote.TAKEN:
+            case ClaimResult.TAKEN:
                 return refused('already_used', 409)
-            case Vote.CONTENDED:
+            case ClaimResult.CONTENDED:
                 return refused('contended', 503, CONTENDED_RETRY_AFTER_S)
             case _:
                 return refused('claim_out_of_reach', 503, 1)
@@ -256,7 +256,7 @@
         round trip of one or two milliseconds; a run takes hundreds.
         """
         is_single = (
-            len(self._calls) < MOST_AT_ONCE and self._second_search is None
+            len(self._calls) < MAX_AT_ONCE and self._second_search is None
         )
         if queued.wait_s <= 0 or not is_single or not self.owner.may_hedge:
             return
@@ -278,11 +278,13 @@
 
     def _hedge_wait_s(self) -> float | None:
         """Return how long to wait before hedging; None if not allowed."""
-        if not self.owner.may_hedge or len(self._calls) >= MOST_AT_ONCE:
+        if not self.owner.may_hedge or len(self._calls) >= MAX_AT_ONCE:
             return None
         latest = max(call.progress_at for call in self._calls.values())
-        patience_s = self._owner_task.agents.router.patience_s(self.req.service)
-        return max(latest + patience_s - _now(), 0)
+        hedge_delay_s = self._owner_task.agents.router.hedge_delay_s(
+            self.req.service
+        )
+        return max(latest + hedge_delay_s - _now(), 0)
 
     def _hedge(self) -> None:
         """Start an attempt at a second agent if the first makes no progress.
@@ -295,7 +297,7 @@
         for call in self._calls.values():
             call.progress_at = _now()
         if self._owner_task.may_retry():
-            self._start_second(hedge=self.owner.permit_out)
+            self._start_second(hedge=self.owner.has_outstanding_permit)
 
     def _start_second(self, *, hedge: bool = False) -> None:
         hosts_in_use = {call.agent.host for call in self._calls.values()}
@@ -338,7 +340,7 @@
                 )
             case _:
                 ended = outcome_unknown('outcome_unknown', ended.message)
-        self._owner_task.note_end(ended)
+        self._owner_task.record_end(ended)
         self.parts.put_nowait(ended)
 
     def _close(self, outcome: Outcome) -> Outcome:
--- a/packages/daemon/src/crowrudder_daemon/entry/_requests.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_requests.py
@@ -16,14 +16,14 @@
 from crowrudder_daemon.entry._agents import AgentPool
 from crowrudder_daemon.entry._claims import release_claim
 from crowrudder_daemon.entry._parts import Ended, refused
-from crowrudder_daemon.entry._request_execution import Drive
+from crowrudder_daemon.entry._request_execution import RequestExecution
 from crowrudder_daemon.knowledge import Snapshot
-from crowrudder_model.messages import RoomAsk
+from crowrudder_model.messages import CapacityRequest
 
 if TYPE_CHECKING:
     from crowrudder_daemon.entry._caller_request import CallerRequest
     from crowrudder_daemon.entry._claims import Claim
-    from crowrudder_daemon.entry._links import AgentLost, ReportCame
+    from crowrudder_daemon.entry._links import AgentLost, ReportReceived
     from crowrudder_daemon.process import Runtime
     from crowrudder_daemon.rpc import PeerClient
     from crowrudder_model.declared import Service
@@ -36,14 +36,14 @@
 
 
 @frozen
-class SnapshotCame:
+class SnapshotReceived:
     """The configuration or the members changed."""
 
     snapshot: Snapshot
 
 
 @frozen
-class RequestCame:
+class RequestReceived:
     """A caller's request; its answer is put on the queue in parts."""
 
     req: CallerRequest
@@ -51,14 +51,14 @@
 
 
 @frozen
-class CallerLost:
+class CallerDisconnected:
     """The caller's connection closed."""
 
     parts: asyncio.Queue[Piece | Ended]
 
 
 @frozen
-class ForgetOld:
+class RemoveExpired:
     """Remove expired request ids."""
 
 
@@ -76,7 +76,9 @@
         self._second_queue_budget = RetryBudget(SECOND_QUEUE_SHARE)
         self._admission = Admission(runtime.cfg.limits.max_concurrent)
         self._serial = 0
-        self._executions: dict[int, tuple[Drive, asyncio.Task[Any]]] = {}
+        self._executions: dict[
+            int, tuple[RequestExecution, asyncio.Task[Any]]
+        ] = {}
         self._outcomes_counter = runtime.metrics.counter(
             'requests',
             'Requests by their final word.',
@@ -86,31 +88,31 @@
     def start(self) -> None:
         """Start the loop and the periodic removal of expired ids."""
         super().start()
-        self.spawn(self._forget_for_ever())
+        self.spawn(self._remove_expired_periodically())
 
     @property
     def running(self) -> int:
         """Number of requests without a final outcome."""
         return len(self._executions)
 
-    def on_snapshot_came(self, message: SnapshotCame) -> None:
+    def on_snapshot_received(self, message: SnapshotReceived) -> None:
         """Apply the new snapshot."""
         self.snapshot = message.snapshot
 
-    def on_report_came(self, message: ReportCame) -> None:
+    def on_report_received(self, message: ReportReceived) -> None:
         """Apply an agent's report."""
         self.agents.on_report(message.report, message.address)
 
     def on_agent_lost(self, message: AgentLost) -> None:
         """Exclude an agent until it reports again."""
-        self.agents.router.on_gone(message.host)
+        self.agents.router.on_agent_gone(message.host)
 
-    def on_request_came(self, message: RequestCame) -> None:
+    def on_request_received(self, message: RequestReceived) -> None:
         """Start a request, or refuse it immediately."""
         now = self._now()
         entered = self._enter(message.req, now)
         if isinstance(entered, Ended):
-            self.note_end(entered)
+            self.record_end(entered)
             message.parts.put_nowait(entered)
             return
         req, head = entered, entered.head
@@ -124,7 +126,7 @@
             deadline=now + head.budget_s,
             serial=self._serial,
         )
-        execution = Drive(
+        execution = RequestExecution(
             req,
             owner,
             message.parts,
@@ -140,13 +142,13 @@
         while self._executions:
             await asyncio.wait([job for _, job in self._executions.values()])
 
-    def on_caller_lost(self, message: CallerLost) -> None:
+    def on_caller_disconnected(self, message: CallerDisconnected) -> None:
         """Stop the request, unless it may be running and isn't idempotent."""
         known = self._executions.get(id(message.parts))
         if known is not None and known[0].withdraw():
             known[1].cancel()
 
-    def on_forget_old(self, _message: ForgetOld) -> None:
+    def on_remove_expired(self, _message: RemoveExpired) -> None:
         """Remove ids whose retention window has passed."""
         self._admission.remove_expired(now=self._now())
 
@@ -164,10 +166,10 @@
         known = bundle.declaration.customer(customer) if bundle else None
         return known.share if known else 0.0
 
-    def capacity_request(self, req: CallerRequest) -> RoomAsk:
+    def capacity_request(self, req: CallerRequest) -> CapacityRequest:
         """Return the capacity request for a caller's request."""
         customer = req.head.customer
-        return RoomAsk(
+        return CapacityRequest(
             service=req.service,
             customer=customer,
             share=self.share_of(customer),
@@ -183,7 +185,7 @@
         if claim is not None:
             self.spawn(release_claim(self._peers, claim))
 
-    def note_end(self, ended: Ended) -> None:
+    def record_end(self, ended: Ended) -> None:
         """Count a final outcome."""
         self._outcomes_counter.add(outcome=ended.outcome.value, code=ended.code)
 
@@ -228,13 +230,13 @@
         execution, _ = self._executions.pop(id(parts))
         self._admission.leave(execution.req.head.customer)
 
-    async def _forget_for_ever(self) -> None:
+    async def _remove_expired_periodically(self) -> None:
         # Reports of agents that are already running arrive within seconds.
         await asyncio.sleep(FORGET_EVERY_S / 10)
         self.agents.router.on_started()
         while True:
             await asyncio.sleep(FORGET_EVERY_S)
-            self.post(ForgetOld())
+            self.post(RemoveExpired())
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/packages/daemon/src/crowrudder_daemon/entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_role.py
@@ -9,9 +9,9 @@
 
 from crowrudder_daemon._callers_port import CallersPort
 from crowrudder_daemon.entry._handlers import make_application
-from crowrudder_daemon.entry._links import LinksTask, links_of
+from crowrudder_daemon.entry._links import ReportStreamsTask, links_of
 from crowrudder_daemon.entry._open_answers import OpenAnswers
-from crowrudder_daemon.entry._requests import RequestsTask, SnapshotCame
+from crowrudder_daemon.entry._requests import RequestsTask, SnapshotReceived
 from crowrudder_daemon.entry._size_gate import SizeGate
 from crowrudder_daemon.knowledge import KnowledgeTask, Snapshot
 from crowrudder_daemon.rpc import PeerClient, PeerServer
@@ -45,13 +45,13 @@
         self._server = PeerServer(process.rpc_listen_address)
         self.knowledge = KnowledgeTask(runtime, self._on_snapshot)
         self.requests = RequestsTask(runtime, self._peers)
-        self.links = LinksTask(
+        self.links = ReportStreamsTask(
             runtime, self._peers, self.requests, self.knowledge
         )
         self._http = HTTPServer(
             SizeGate(
                 make_application(runtime, self.requests, self._answers),
-                most_bytes=limits.max_body_bytes,
+                max_bytes=limits.max_body_bytes,
             ),
             max_body_size=limits.max_body_bytes,
             max_buffer_size=limits.max_body_bytes + 65_536,
@@ -122,12 +122,12 @@
 
     def bundle(self) -> bytes:
         """Return the bytes of the bundle in force."""
-        return self.knowledge.book.payload
+        return self.knowledge.active_config.payload
 
     def explain(self, customer: str, model: str) -> dict[str, Any]:
         """Return where a request would be routed now, and why."""
         return self.requests.explain(customer, model)
 
     def _on_snapshot(self, snapshot: Snapshot) -> None:
-        self.requests.post(SnapshotCame(snapshot))
+        self.requests.post(SnapshotReceived(snapshot))
         self.links.post(links_of(snapshot, self._runtime.cfg.process.host))
--- a/packages/daemon/src/crowrudder_daemon/entry/_size_gate.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_size_gate.py
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    most_bytes
+    max_bytes
         The longest body that is forwarded.
     """
 
@@ -52,10 +52,10 @@
         self,
         inner: HTTPServerConnectionDelegate,
         *,
-        most_bytes: int,
+        max_bytes: int,
     ) -> None:
         self._inner = inner
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
 
     def start_request(
         self,
@@ -64,7 +64,7 @@
     ) -> HTTPMessageDelegate:
         """Return a delegate that checks the size of the request."""
         inner = self._inner.start_request(server_conn, request_conn)
-        return _GatedRequest(inner, request_conn, self._most_bytes)
+        return _GatedRequest(inner, request_conn, self._max_bytes)
 
     def on_close(self, server_conn: object) -> None:
         """Forward the end of a connection."""
@@ -76,18 +76,18 @@
         self,
         inner: HTTPMessageDelegate,
         conn: HTTP1Connection,
-        most_bytes: int,
+        max_bytes: int,
     ) -> None:
         self._inner = inner
         self._conn = conn
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
 
     def headers_received(
         self,
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
-        if is_too_long(headers.get('Content-Length', ''), self._most_bytes):
+        if is_too_long(headers.get('Content-Length', ''), self._max_bytes):
             return self._refuse(answer_request_id(headers))
         return self._inner.headers_received(start_line, headers)
 
@@ -102,7 +102,7 @@
 
     async def _refuse(self, request_id: str) -> None:
         stream = self._conn.detach()
-        answer = too_large_response(request_id, self._most_bytes)
+        answer = too_large_response(request_id, self._max_bytes)
         # Closing before the caller has sent the whole body would reset the
         # connection, and the answer would be lost.
         with contextlib.suppress(StreamClosedError, TimeoutError):
@@ -112,7 +112,7 @@
         stream.close()
 
 
-def is_too_long(length: str, most_bytes: int) -> bool:
+def is_too_long(length: str, max_bytes: int) -> bool:
     """Return whether a `Content-Length` is a number over the limit.
 
     >>> is_too_long('11', 10), is_too_long('10', 10), is_too_long('-1', 10)
@@ -120,16 +120,16 @@
     """
     if not (length.isascii() and length.isdigit()):
         return False
-    return len(length) > _MAX_DIGITS or int(length) > most_bytes
+    return len(length) > _MAX_DIGITS or int(length) > max_bytes
 
 
-def too_large_response(request_id: str, most_bytes: int) -> bytes:
+def too_large_response(request_id: str, max_bytes: int) -> bytes:
     """Return the complete HTTP response to a body over the limit."""
     body = msgspec.json.encode(
         {
             'error': {
                 'code': 'too_large',
-                'message': f'the body may have {most_bytes} bytes at most',
+                'message': f'the body may have {max_bytes} bytes at most',
                 'outcome': Outcome.NOT_RUN.value,
                 'request_id': request_id,
             },
--- a/packages/daemon/src/crowrudder_daemon/fleet/_catalog_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_catalog_task.py
@@ -10,12 +10,12 @@
 from attrs import evolve
 
 from crowrudder_core.catalog import (
-    RETURN_S,
+    RECOVERY_WINDOW_S,
     WATCH_WAIT_S,
     AnswerTimeout,
     Catalog,
     FleetView,
-    StoreReading,
+    StoreReadPolicy,
     StoreStep,
 )
 from crowrudder_daemon._clock import clock_s
@@ -25,7 +25,7 @@
 from crowrudder_daemon.fleet._records import (
     AgesReceived,
     PeerAhead,
-    RecordsCame,
+    RecordsReceived,
     decode_item,
     peer_records,
     platform_records,
@@ -39,8 +39,8 @@
     PlatformError,
 )
 from crowrudder_model import PeerLostError
-from crowrudder_model.fleet import NamedVersion
-from crowrudder_model.messages import AgesAsk, ChangesAsk
+from crowrudder_model.fleet import TargetVersion
+from crowrudder_model.messages import AgesRequest, ChangesRequest
 from crowrudder_model.rpc import AGES, CHANGES
 
 if TYPE_CHECKING:
@@ -113,7 +113,7 @@
         # Agents receive records from entries; they read the platform themselves
         # only if no entry has reported anything for a while.
         is_entry = node.role == 'entry'
-        self.reading = StoreReading(own=node.ip, is_reader=is_entry)
+        self.reading = StoreReadPolicy(own=node.ip, is_reader=is_entry)
         self.reading.on_start(clock_s(), lists_at_once=is_entry)
         self._calls = runtime.metrics.counter(
             'platform_calls',
@@ -139,9 +139,11 @@
         """Return whether the records are confirmed within the allowed age."""
         return self.reading.is_current(clock_s(), self._node.bounds.config_s)
 
-    def peer_heard(self, ip: str, revision: int, confirmed_s: float) -> None:
+    def peer_report_received(
+        self, ip: str, revision: int, confirmed_s: float
+    ) -> None:
         """Receive a peer's revision and confirmation age from a heartbeat."""
-        self.reading.on_peer(confirmed_s, clock_s())
+        self.reading.on_peer_report(confirmed_s, clock_s())
         if revision > self.catalog.revision:
             self.post(PeerAhead(f'{ip}:{self._node.rpc_port}', revision))
 
@@ -152,7 +154,7 @@
         self._pulling = True
         self.spawn(self._pull(message.address))
 
-    def on_records_came(self, message: RecordsCame) -> None:
+    def on_records_received(self, message: RecordsReceived) -> None:
         """Apply records and refresh the view."""
         now = clock_s()
         before = self.catalog.revision
@@ -176,7 +178,7 @@
     def on_ages_received(self, message: AgesReceived) -> None:
         """Apply ages and refresh the view of the records that had none."""
         now = clock_s()
-        aged = self.catalog.take_ages(message.add_elapsed_time(now), now=now)
+        aged = self.catalog.apply_ages(message.add_elapsed_time(now), now=now)
         for item in aged:
             self._refresh_view(item, message, now)
         if aged:
@@ -219,7 +221,7 @@
         asked_at = clock_s()
         try:
             reply = await self._client.call(
-                address, AGES, AgesAsk(), timeout_s=AGES_TIMEOUT_S
+                address, AGES, AgesRequest(), timeout_s=AGES_TIMEOUT_S
             )
         except PeerLostError as exc:
             self._log.info('ages not read: %s', exc)
@@ -227,20 +229,20 @@
         self.post(AgesReceived(reply.ages, address, asked_at))
 
     async def _pull(self, address: str) -> None:
-        ask = ChangesAsk(self.catalog.revision, takes_deflated=True)
+        ask = ChangesRequest(self.catalog.revision, takes_deflated=True)
         asked_at = clock_s()
         try:
             changes = await self._client.call(
                 address, CHANGES, ask, timeout_s=self._pull_timeout.seconds
             )
         except PeerLostError as exc:
-            self._pull_timeout.on_lost(clock_s() - asked_at)
+            self._pull_timeout.on_failure(clock_s() - asked_at)
             self._log.info('changes not read: %s', exc)
             return
         finally:
             self._pulling = False
         self._pull_timeout.on_answer(clock_s() - asked_at)
-        self.reading.on_peer(changes.confirmed_s, asked_at)
+        self.reading.on_peer_report(changes.confirmed_s, asked_at)
         for item in changes.items:
             if item.age_s >= 0:
                 self._record_age.record(item.age_s)
@@ -255,7 +257,7 @@
             try:
                 await self._step(source, step)
             except HistoryGoneError as exc:
-                self.reading.on_forgotten()
+                self.reading.on_history_lost()
                 self._record_failed_call(step, 'history_gone', exc)
             except PlatformError as exc:
                 self._on_failure(step, exc)
@@ -263,8 +265,8 @@
 
     async def _step(self, source: PublishedSource, step: StoreStep) -> None:
         match step:
-            case StoreStep.REST:
-                self._watch_times.on_rest()
+            case StoreStep.IDLE:
+                self._watch_times.on_idle()
                 until_due_s = max(self.reading.lists_at - clock_s(), 0)
                 rest_s = until_tick_s(IDLE_CHECK_INTERVAL_S)
                 await asyncio.sleep(min(rest_s, until_due_s + DUE_MARGIN_S))
@@ -298,7 +300,7 @@
             self._peers.set_knowledge(after, self.reading.confirmed_at)
             return
         self.post(platform_records(listing, is_whole=False, as_of=since))
-        await asyncio.sleep(self.reading.gather_s)
+        await asyncio.sleep(self.reading.batch_pause_s)
 
     def _on_answer(self, step: StoreStep) -> None:
         if self.reading.failures:
@@ -335,12 +337,12 @@
     def _refresh_view(
         self,
         item: PublishedItem,
-        message: RecordsCame | AgesReceived,
+        message: RecordsReceived | AgesReceived,
         now: float,
     ) -> None:
         teller = message.teller
         if item.payload is None:
-            may_return = now - self._last_outage_at < RETURN_S
+            may_return = now - self._last_outage_at < RECOVERY_WINDOW_S
             self.view.on_removed(item.key, now=now, may_return=may_return)
             self._log_record(item, 'removed', teller)
             return
@@ -356,7 +358,7 @@
         if record is None:
             return
         age_s = self.catalog.age_s(item.key, now=now)
-        named = record if isinstance(record, NamedVersion) else None
+        named = record if isinstance(record, TargetVersion) else None
         ended_at = self._ends.previous_end(named) if named else math.inf
         self.view.on_record(item.key, record, age_s=age_s, now=now)
         self._log_record(item, describe_record(record), teller)
@@ -387,7 +389,7 @@
         while True:
             await sleep_to_tick(SWEEP_INTERVAL_S)
             self._watch_times.tick()
-            if self.view.forget_gone(now=clock_s()):
+            if self.view.remove_expired(now=clock_s()):
                 self._on_change()
 
     def status(self) -> dict[str, Any]:
--- a/packages/daemon/src/crowrudder_daemon/fleet/_describe.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_describe.py
@@ -4,18 +4,18 @@
 
 from typing import TYPE_CHECKING
 
-from crowrudder_model.fleet import FleetConfig, NamedVersion, Upstream
+from crowrudder_model.fleet import FleetConfig, TargetVersion, Upstream
 
 if TYPE_CHECKING:
-    from crowrudder_model.fleet import Published
+    from crowrudder_model.fleet import PublishedRecord
 
 
-def describe_record(record: Published) -> str:
+def describe_record(record: PublishedRecord) -> str:
     """Return a record's kind and what identifies it."""
     match record:
         case FleetConfig(version=version):
             return f'configuration {version}'
         case Upstream(id=name, state=state, weights=weights):
             return f'upstream {name} {state.value} weights {weights}'
-        case NamedVersion(model=model, version=version):
+        case TargetVersion(model=model, version=version):
             return f'{model} version {version}'
--- a/packages/daemon/src/crowrudder_daemon/fleet/_peers_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_peers_task.py
@@ -11,11 +11,11 @@
 from msgspec.structs import replace
 
 from crowrudder_core.membership import (
-    NEWS_PARTNERS,
+    UPDATE_PARTNERS,
     Roster,
     contacts,
-    drawn,
     partners,
+    sample_ips,
     split_by_region,
 )
 from crowrudder_daemon._clock import clock_s
@@ -26,13 +26,13 @@
     encode_message,
 )
 from crowrudder_model.messages import (
-    ChunkNews,
+    ChunkInventory,
     EngineLoad,
     Heartbeat,
-    LimitNews,
+    LimitUpdate,
     LoadBatch,
-    MemberWord,
-    SuspectNews,
+    MemberStatus,
+    SuspicionUpdate,
 )
 
 if TYPE_CHECKING:
@@ -61,22 +61,24 @@
 class PeerListener(Protocol):
     """Receives the contents of other processes' datagrams."""
 
-    def peer_heard(self, ip: str, revision: int, confirmed_s: float) -> None:
+    def peer_report_received(
+        self, ip: str, revision: int, confirmed_s: float
+    ) -> None:
         """Receive the revision and confirmation age of a process's records."""
 
-    def load_heard(self, load: EngineLoad) -> None:
+    def load_received(self, load: EngineLoad) -> None:
         """Receive an agent's load report on its engine."""
 
-    def loads_heard(self, batch: LoadBatch) -> None:
+    def loads_received(self, batch: LoadBatch) -> None:
         """Receive load reports of agents that an entry forwards."""
 
-    def chunks_heard(self, ip: str, news: ChunkNews) -> None:
+    def chunks_received(self, ip: str, news: ChunkInventory) -> None:
         """Receive an agent's inventory of chunks."""
 
-    def suspects_heard(self, ip: str, news: SuspectNews) -> None:
+    def suspects_received(self, ip: str, news: SuspicionUpdate) -> None:
         """Receive an entry's reports on requests under which upstreams ended."""
 
-    def limits_heard(self, ip: str, news: LimitNews) -> None:
+    def limits_received(self, ip: str, news: LimitUpdate) -> None:
         """Receive an entry's reports on limits that upstreams stated."""
 
 
@@ -98,7 +100,7 @@
         self._task = task
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        self._task.handle_now(DatagramReceived(data, addr[0]))
+        self._task.handle_immediately(DatagramReceived(data, addr[0]))
 
     def error_received(self, exc: Exception) -> None:
         self._task.on_send_failed(exc)
@@ -162,7 +164,7 @@
     def _is_entry(self) -> bool:
         return self._node.role == 'entry'
 
-    def entries(self) -> list[MemberWord]:
+    def entries(self) -> list[MemberStatus]:
         """List the live entries."""
         return self.roster.entries(now=clock_s())
 
@@ -194,15 +196,15 @@
             case Heartbeat():
                 self._apply_heartbeat(datagram, message.ip)
             case EngineLoad():
-                self._listener.load_heard(datagram)
+                self._listener.load_received(datagram)
             case LoadBatch():
-                self._listener.loads_heard(datagram)
-            case ChunkNews():
-                self._listener.chunks_heard(message.ip, datagram)
-            case SuspectNews():
-                self._listener.suspects_heard(message.ip, datagram)
-            case LimitNews():
-                self._listener.limits_heard(message.ip, datagram)
+                self._listener.loads_received(datagram)
+            case ChunkInventory():
+                self._listener.chunks_received(message.ip, datagram)
+            case SuspicionUpdate():
+                self._listener.suspects_received(message.ip, datagram)
+            case LimitUpdate():
+                self._listener.limits_received(message.ip, datagram)
 
     def on_heartbeat_due(self, _message: HeartbeatDue) -> None:
         """Send a heartbeat to the partners of this process."""
@@ -245,20 +247,20 @@
             return
         near, far = self._other_entries()
         targets = {
-            *drawn(near, NEWS_PARTNERS, self._random),
-            *drawn(far, 1, self._random),
+            *sample_ips(near, UPDATE_PARTNERS, self._random),
+            *sample_ips(far, 1, self._random),
             *self._live_agents(),
         }
         self._send(targets, self._heartbeat())
 
-    def tell(self, datagram: Datagram, ips: Iterable[str]) -> None:
+    def send(self, datagram: Datagram, ips: Iterable[str]) -> None:
         """Send a message to some hosts now."""
         self._send_bytes(encode_message(datagram), ips)
 
-    def tell_partners(self, datagram: Datagram) -> None:
+    def send_to_partners(self, datagram: Datagram) -> None:
         """Send a message to a bounded number of entries, which forward it."""
         near, far = partners(*self._other_entries(), self._random)
-        self.tell(datagram, [*near, *far])
+        self.send(datagram, [*near, *far])
 
     def entry_ips(self) -> tuple[list[str], list[str]]:
         """List the IP addresses of live entries: own region, other regions.
@@ -280,7 +282,9 @@
             self._on_agent(heartbeat, ip, now)
         if heartbeat.asks_for_reply or is_new:
             self._send({ip}, self._reply(to_isolated=heartbeat.is_alone))
-        self._listener.peer_heard(ip, heartbeat.revision, heartbeat.confirmed_s)
+        self._listener.peer_report_received(
+            ip, heartbeat.revision, heartbeat.confirmed_s
+        )
 
     def _on_agent(self, heartbeat: Heartbeat, ip: str, now: float) -> None:
         """Record an agent that has chosen this entry, or remove a leaving one.
@@ -295,13 +299,13 @@
             self._agents[ip] = now
 
     def _update_roster(self, heartbeat: Heartbeat, now: float) -> bool:
-        is_new = self.roster.on_word(heartbeat.word, 0, now=now)
+        is_new = self.roster.on_status(heartbeat.word, 0, now=now)
         for forwarded in heartbeat.others:
-            self.roster.on_word(forwarded.word, forwarded.age_s, now=now)
+            self.roster.on_status(forwarded.word, forwarded.age_s, now=now)
         unknown_ips = [
             last_seen.ip
-            for last_seen in heartbeat.sightings
-            if self.roster.on_sighting(last_seen, now=now)
+            for last_seen in heartbeat.last_seen_entries
+            if self.roster.on_last_seen(last_seen, now=now)
         ]
         self._request_statuses(unknown_ips)
         if is_new:
@@ -362,17 +366,17 @@
         heartbeat = self._heartbeat()
         if not to_isolated:
             return heartbeat
-        others = self.roster.to_pass_on(self._random, now=clock_s())
+        others = self.roster.statuses_to_forward(self._random, now=clock_s())
         return replace(heartbeat, others=others)
 
     def _with_last_seen(
         self, heartbeat: Heartbeat, region: str | None = None
     ) -> Heartbeat:
         """Add last-seen entries, of all processes or of one region."""
-        sightings = self.roster.sightings(
+        last_seen_entries = self.roster.last_seen_entries(
             self._random, now=clock_s(), region=region
         )
-        return replace(heartbeat, sightings=sightings)
+        return replace(heartbeat, last_seen_entries=last_seen_entries)
 
     async def _schedule_heartbeats(self) -> None:
         while True:
@@ -382,8 +386,8 @@
             )
 
 
-def _own_status(runtime: Runtime, node: Node) -> MemberWord:
-    return MemberWord(
+def _own_status(runtime: Runtime, node: Node) -> MemberStatus:
+    return MemberStatus(
         ip=node.ip,
         role='entry' if node.role == 'entry' else 'agent',
         incarnation=runtime.incarnation,
--- a/packages/daemon/src/crowrudder_daemon/fleet/_records.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_records.py
@@ -8,13 +8,13 @@
 from attrs import evolve, frozen
 from msgspec.structs import replace
 
-from crowrudder_core.catalog import deflated, inflated
+from crowrudder_core.catalog import deflate_record, inflate_record
 from crowrudder_daemon.fleet.ports import BadRecordError
 from crowrudder_model import MalformedMessageError
 
 if TYPE_CHECKING:
     from crowrudder_daemon.fleet.ports import Listing, PublishedSource
-    from crowrudder_model.fleet import Published
+    from crowrudder_model.fleet import PublishedRecord
     from crowrudder_model.messages import Changes, PublishedItem, RecordAge
 
 
@@ -27,7 +27,7 @@
 
 
 @frozen
-class RecordsCame:
+class RecordsReceived:
     """Changes, or a complete list, from the platform or a peer.
 
     ``as_of`` is the time on the own clock at which the ages were right; a
@@ -68,7 +68,7 @@
 
 @frozen
 class AgesReceived:
-    """Ages of records from a peer; ``as_of`` as for `RecordsCame`."""
+    """Ages of records from a peer; ``as_of`` as for `RecordsReceived`."""
 
     ages: tuple[RecordAge, ...]
     teller: str
@@ -88,17 +88,17 @@
 
 def platform_records(
     listing: Listing, *, is_whole: bool, as_of: float = math.inf
-) -> RecordsCame:
+) -> RecordsReceived:
     """Return records of the platform, deflated for all other processes."""
-    items = tuple(deflated(item) for item in listing.items)
-    return RecordsCame(items, listing.through, is_whole, 'platform', as_of)
+    items = tuple(deflate_record(item) for item in listing.items)
+    return RecordsReceived(items, listing.through, is_whole, 'platform', as_of)
 
 
 def peer_records(
     changes: Changes, teller: str, *, as_of: float = math.inf
-) -> RecordsCame:
+) -> RecordsReceived:
     """Return records of another process, unchanged."""
-    return RecordsCame(
+    return RecordsReceived(
         changes.items, changes.through, changes.is_whole, teller, as_of
     )
 
@@ -114,7 +114,7 @@
 
 def decode_item(
     source: PublishedSource, item: PublishedItem
-) -> Published | None:
+) -> PublishedRecord | None:
     """Decode a current record; return None for one of no use here.
 
     Raises
@@ -123,7 +123,7 @@
         If the record can't be decoded.
     """
     try:
-        payload = inflated(item).payload
+        payload = inflate_record(item).payload
     except MalformedMessageError as exc:
         raise BadRecordError(exc.message, step=exc.step, peer=item.key) from exc
     return source.decode(item.key, payload or b'')
@@ -131,7 +131,7 @@
 
 def _inflate_if_valid(item: PublishedItem) -> PublishedItem:
     try:
-        return inflated(item)
+        return inflate_record(item)
     except MalformedMessageError:
         # The receiver refuses the record, as this process did.
         return item
--- a/packages/daemon/src/crowrudder_daemon/fleet/_records_service.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_records_service.py
@@ -8,11 +8,11 @@
 
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet._records import inflate_changes
-from crowrudder_model.messages import Ages, AgesAsk, Changes, ChangesAsk
+from crowrudder_model.messages import Ages, AgesRequest, Changes, ChangesRequest
 from crowrudder_model.rpc import AGES, CHANGES
 
 if TYPE_CHECKING:
-    from crowrudder_core.catalog import Catalog, StoreReading
+    from crowrudder_core.catalog import Catalog, StoreReadPolicy
     from crowrudder_daemon.rpc import PeerServer
 
 
@@ -21,7 +21,7 @@
     """Returns records of the catalog; a request changes nothing in it."""
 
     _catalog: Catalog
-    _reading: StoreReading
+    _reading: StoreReadPolicy
 
     def serve(self, server: PeerServer) -> None:
         """Register the handlers of requests for changes, and for ages alone."""
@@ -29,7 +29,7 @@
         server.add(AGES, self._on_ages_ask)
 
     async def _on_changes_ask(
-        self, ask: ChangesAsk, _context: object
+        self, ask: ChangesRequest, _context: object
     ) -> Changes:
         now = clock_s()
         changes = self._catalog.changes_after(
@@ -39,5 +39,5 @@
         )
         return changes if ask.takes_deflated else inflate_changes(changes)
 
-    async def _on_ages_ask(self, _ask: AgesAsk, _context: object) -> Ages:
+    async def _on_ages_ask(self, _ask: AgesRequest, _context: object) -> Ages:
         return Ages(self._catalog.ages(now=clock_s()))
--- a/packages/daemon/src/crowrudder_daemon/fleet/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_role.py
@@ -16,11 +16,11 @@
     from crowrudder_model import Member
     from crowrudder_model.fleet import Node
     from crowrudder_model.messages import (
-        ChunkNews,
+        ChunkInventory,
         EngineLoad,
-        LimitNews,
+        LimitUpdate,
         LoadBatch,
-        SuspectNews,
+        SuspicionUpdate,
     )
 
 RPC_GRACE_S = 0.2
@@ -93,21 +93,23 @@
         """Apply changes of the published records."""
         raise NotImplementedError
 
-    def peer_heard(self, ip: str, revision: int, confirmed_s: float) -> None:
+    def peer_report_received(
+        self, ip: str, revision: int, confirmed_s: float
+    ) -> None:
         """Forward a peer's revision and confirmation age to the catalog."""
-        self.catalog.peer_heard(ip, revision, confirmed_s)
+        self.catalog.peer_report_received(ip, revision, confirmed_s)
 
-    def load_heard(self, load: EngineLoad) -> None:
+    def load_received(self, load: EngineLoad) -> None:
         """Ignore load reports on engines."""
 
-    def loads_heard(self, batch: LoadBatch) -> None:
+    def loads_received(self, batch: LoadBatch) -> None:
         """Ignore load reports on engines."""
 
-    def chunks_heard(self, ip: str, news: ChunkNews) -> None:
+    def chunks_received(self, ip: str, news: ChunkInventory) -> None:
         """Ignore inventories of chunks."""
 
-    def suspects_heard(self, ip: str, news: SuspectNews) -> None:
+    def suspects_received(self, ip: str, news: SuspicionUpdate) -> None:
         """Ignore reports on suspected requests."""
 
-    def limits_heard(self, ip: str, news: LimitNews) -> None:
+    def limits_received(self, ip: str, news: LimitUpdate) -> None:
         """Ignore reports on upstreams' limits."""
--- a/packages/daemon/src/crowrudder_daemon/fleet/_settings_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_settings_watch.py
@@ -69,7 +69,7 @@
 
     async def watch(self) -> None:
         """Check the settings after each signal, and periodically."""
-        reload_requested = self._runtime.reload_asked
+        reload_requested = self._runtime.reload_requested
         while True:
             self.check_once()
             with contextlib.suppress(TimeoutError):
--- a/packages/daemon/src/crowrudder_daemon/fleet/_version_ends.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_version_ends.py
@@ -11,7 +11,7 @@
     from logging import Logger
 
     from crowrudder_core.catalog import Releases
-    from crowrudder_model.fleet import NamedVersion
+    from crowrudder_model.fleet import TargetVersion
 
 END_TOLERANCE_S = 0.001
 """Ends that differ by less than this, in seconds, are equal: they are computed
@@ -30,13 +30,13 @@
     _log: Logger
     _releases: Releases
 
-    def previous_end(self, named: NamedVersion) -> float:
+    def previous_end(self, named: TargetVersion) -> float:
         """Return the time from which nothing may start on earlier versions."""
         return self._releases.ends_at(named.model, named.version - 1)
 
     def log_change(
         self,
-        named: NamedVersion,
+        named: TargetVersion,
         *,
         ended_at: float,
         teller: str,
--- a/packages/daemon/src/crowrudder_daemon/fleet/_watch_times.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_watch_times.py
@@ -4,7 +4,7 @@
 
 from attrs import frozen
 
-from crowrudder_core.catalog import WATCH_WAIT_S, Punctuality, WatchAges
+from crowrudder_core.catalog import WATCH_WAIT_S, TickMonitor, WatchAges
 from crowrudder_daemon._clock import clock_s
 
 
@@ -21,21 +21,21 @@
 
     Parameters
     ----------
-    every_s
+    interval_s
         Seconds between two calls of `tick`.
     """
 
-    def __init__(self, every_s: float) -> None:
-        self._punctuality = Punctuality(every_s)
+    def __init__(self, interval_s: float) -> None:
+        self._punctuality = TickMonitor(interval_s)
         self._ages = WatchAges()
 
     def tick(self) -> None:
         """Record that the event loop runs its timers."""
         self._punctuality.on_tick(clock_s())
 
-    def on_rest(self) -> None:
+    def on_idle(self) -> None:
         """Record that this process doesn't watch the platform."""
-        self._ages.on_rest()
+        self._ages.on_idle()
 
     def on_listed(self, asked_at: float) -> None:
         """Record a complete list that was requested at ``asked_at``."""
@@ -46,7 +46,7 @@
     ) -> float:
         """Record a watch's answer; return the earliest time of its changes."""
         now = clock_s()
-        is_punctual = self._punctuality.is_given(now)
+        is_punctual = self._punctuality.is_on_time(now)
         since = self._ages.published_since(
             asked_at,
             now,
--- a/packages/daemon/src/crowrudder_daemon/fleet/ports.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/ports.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from crowrudder_daemon.http import WireHead, WireRequest
-    from crowrudder_model.fleet import PathPart, Published
+    from crowrudder_model.fleet import PipelineStage, PublishedRecord
     from crowrudder_model.messages import PublishedItem
 
 
@@ -71,7 +71,7 @@
             If no valid answer was received.
         """
 
-    def decode(self, key: str, payload: bytes) -> Published | None:
+    def decode(self, key: str, payload: bytes) -> PublishedRecord | None:
         """Decode a record; return None for one of no use here.
 
         Raises
@@ -125,27 +125,27 @@
     weights: int = 0
     urgency: int | None = None
     resume_after: str = ''
-    path: tuple[PathPart, ...] = ()
+    path: tuple[PipelineStage, ...] = ()
 
 
 @frozen(kw_only=True)
-class AnswerMark:
+class ResponseMetadata:
     """Metadata in the head of an upstream's answer.
 
-    ``is_vouched`` is set if the answer has the upstream's seal of authenticity,
+    ``is_authentic`` is set if the answer has the upstream's seal of authenticity,
     ``not_run`` if the upstream states that it didn't run the request.
     ``limit_per_s`` is the rate of requests a second that it accepts from all
     entries together, None if it states no limit.
     """
 
     request_id: str
-    is_vouched: bool
+    is_authentic: bool
     not_run: bool
     retry_after_s: float = 0
     limit_per_s: float | None = None
 
 
-class CallersDialect(Protocol):
+class CallerProtocol(Protocol):
     """Translates requests and answers between callers, entries and upstreams."""
 
     ready_path: str
@@ -166,7 +166,7 @@
             If the request is invalid.
         """
 
-    def request_for(
+    def upstream_request(
         self,
         call: Call,
         body: bytes,
@@ -174,19 +174,19 @@
     ) -> WireRequest:
         """Return the request that is sent to the upstream."""
 
-    def mark_of(self, head: WireHead) -> AnswerMark:
+    def response_metadata(self, head: WireHead) -> ResponseMetadata:
         """Read the metadata of an answer from its head."""
 
-    def passed_back(self, head: WireHead) -> list[tuple[str, str]]:
+    def response_headers(self, head: WireHead) -> list[tuple[str, str]]:
         """Return the headers of an upstream's answer to forward to the caller."""
 
     def own_headers(self, call: Call | None) -> list[tuple[str, str]]:
         """Return the headers that link the entry's own answer to a call."""
 
-    def place_asked(self, arguments: Mapping[str, str]) -> tuple[str, str]:
+    def caller_location(self, arguments: Mapping[str, str]) -> tuple[str, str]:
         """Read failure domain and region from a caller's directory request."""
 
-    def directory_answer(self, addresses: list[str], ttl_s: float) -> bytes:
+    def encode_directory(self, addresses: list[str], ttl_s: float) -> bytes:
         """Encode the answer to a directory request."""
 
 
@@ -211,7 +211,7 @@
 
     def whole(self, layers: int) -> int:
         """Return the version if it holds all of its ``layers``, else 0."""
-        return self.weights if self.layers.is_whole(layers) else 0
+        return self.weights if self.layers.is_complete(layers) else 0
 
 
 class EnginePort(Protocol):
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_active_transfer.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_active_transfer.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from crowrudder_core.transfer import Transfer
-    from crowrudder_daemon.fleet_agent._digests import Named
+    from crowrudder_daemon.fleet_agent._digests import NamedManifest
     from crowrudder_daemon.fleet_agent._goal import Goal
 
 STALL_TIMEOUT_S = 0.8
@@ -24,7 +24,7 @@
     """A version that is being fetched, and when its last chunk arrived."""
 
     goal: Goal
-    named: Named
+    named: NamedManifest
     transfer: Transfer
     held_count: int = -1
     last_chunk_at: float = 0
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_digests.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_digests.py
@@ -10,7 +10,7 @@
 from attrs import frozen
 
 from crowrudder_core.transfer import Manifest, ManifestError, decode_manifest
-from crowrudder_daemon.chunks import Artifact, Asked
+from crowrudder_daemon.chunks import Artifact, VersionRef
 from crowrudder_model import CrowrudderError, UpstreamError
 
 if TYPE_CHECKING:
@@ -27,12 +27,12 @@
 bytes, and with one wrong digest a version would never be complete."""
 
 MAX_READS = 6
-PAUSE_S = 0.1
+READ_RETRY_S = 0.1
 _DIGEST_DIGITS = 64
 
 
 @frozen
-class Named:
+class NamedManifest:
     """An encoded manifest and the artifact name that other agents use for it."""
 
     artifact: Artifact
@@ -49,7 +49,7 @@
     return f'{model}@{version}'
 
 
-def build_manifest(digests: ChunkDigests) -> Named:
+def build_manifest(digests: ChunkDigests) -> NamedManifest:
     """Build the manifest; equal digests give equal bytes on every host."""
     payload = msgspec.json.encode(
         Manifest(
@@ -62,7 +62,7 @@
     )
     declared = hashlib.sha256(payload).hexdigest()
     name = version_name(digests.model, digests.version)
-    return Named(Artifact(name, declared), payload, digests.version)
+    return NamedManifest(Artifact(name, declared), payload, digests.version)
 
 
 class DigestReader:
@@ -86,7 +86,7 @@
         self._peers = peers
         self._origin_address = origin_address
 
-    async def from_origin(self, model: str, version: int) -> Named:
+    async def from_origin(self, model: str, version: int) -> NamedManifest:
         """Read from the origin until enough reads agree.
 
         ``version`` 0 stands for the newest.
@@ -103,7 +103,7 @@
                 digests = await self._read(model, version)
             except UpstreamError as exc:
                 last = exc
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(READ_RETRY_S)
                 continue
             counts[digests] = counts.get(digests, 0) + 1
             if counts[digests] >= MIN_AGREEING_READS:
@@ -114,16 +114,18 @@
             peer=self._origin_address(),
         )
 
-    async def from_peer(self, address: str, artifact: Artifact) -> Named | None:
+    async def from_peer(
+        self, address: str, artifact: Artifact
+    ) -> NamedManifest | None:
         """Read from an agent; None if it has no manifest of that digest."""
-        asked = Asked(self._host, artifact.name, artifact.manifest)
+        asked = VersionRef(self._host, artifact.name, artifact.manifest)
         try:
             payload = await self._peers.manifest(address, asked)
             decode_manifest(payload, declared=artifact.manifest, peer=address)
         except (CrowrudderError, ManifestError):
             return None
         version = int(artifact.name.rpartition('@')[2])
-        return Named(artifact, payload, version)
+        return NamedManifest(artifact, payload, version)
 
     async def _read(self, model: str, version: int) -> ChunkDigests:
         address = self._origin_address()
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_end_guard.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_end_guard.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from crowrudder_core.transfer import chunks_of, full, layers_at_hand
+from crowrudder_core.transfer import chunks_of_layers, full, longest_held_layers
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon._ticks import until_tick_s
 from crowrudder_daemon.fleet_agent._digests import version_name
@@ -176,7 +176,7 @@
         ]
         return max(
             lasting or candidates,
-            key=lambda closing: closing.transfer.at_hand.bit_count(),
+            key=lambda closing: closing.transfer.servable_chunks.bit_count(),
             default=None,
         )
 
@@ -184,13 +184,15 @@
         self, figures: EngineFigures, version: int
     ) -> _ClosingLoad | None:
         name = version_name(figures.model, version)
-        transfer = self._library.shelf.transfers.get(name)
+        transfer = self._library.versions.transfers.get(name)
         if transfer is None:
             return None
         layers = self._loadable_layers(figures, name, transfer)
         if not layers:
             return None
-        chunks = chunks_of(layers, layers=figures.layers, chunks=transfer.count)
+        chunks = chunks_of_layers(
+            layers, layers=figures.layers, chunks=transfer.count
+        )
         return _ClosingLoad(
             Load(figures.model, version, chunks), transfer, layers
         )
@@ -203,12 +205,12 @@
         Layers of the own range come first: pipelines are built from the ranges
         assigned to hosts, and the rest of the range can be added later.
         """
-        held = transfer.at_hand
+        held = transfer.servable_chunks
         if held == full(transfer.count):
             return LayerRange(0, figures.layers)
         counts = {'layers': figures.layers, 'chunks': transfer.count}
         own = self._library.part(name, transfer).chunks
-        return layers_at_hand(held & own, **counts) or layers_at_hand(
+        return longest_held_layers(held & own, **counts) or longest_held_layers(
             held, **counts
         )
 
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_engine_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_engine_watch.py
@@ -74,8 +74,8 @@
         load.reachable,
         load.weights,
         load.is_changing,
-        load.part_version,
-        load.part_end,
+        load.partial_version,
+        load.end_layer,
     )
 
 
@@ -157,7 +157,7 @@
         """The version that the engine holds completely; 0 for none."""
         return self.reading.whole(self._layers()) if self.reading else 0
 
-    async def until_changed(self) -> None:
+    async def wait_until_changed(self) -> None:
         """Wait until the engine holds other weights, restarts or is lost."""
         self._changed.clear()
         await self._changed.wait()
@@ -205,10 +205,10 @@
             near, far = far, []
         close, others = close_entries(self._node.ip, near)
         if close and self._close.mark_if_due(load, now):
-            self._peers.tell(replace(load, is_close=True), close)
+            self._peers.send(replace(load, is_close=True), close)
         for recipients, ips in ((self._near, others), (self._far, far)):
             if ips and recipients.mark_if_due(load, now):
-                self._peers.tell(load, ips)
+                self._peers.send(load, ips)
 
     def _load_report(self) -> EngineLoad:
         reading = self.reading
@@ -227,9 +227,9 @@
             memory_used=reading.memory_used,
             pace=reading.pace,
             started_ms=reading.started_ms,
-            part_version=reading.weights if part else 0,
-            part_first=part.first,
-            part_end=part.end,
+            partial_version=reading.weights if part else 0,
+            first_layer=part.first,
+            end_layer=part.end,
         )
 
 
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_keeper.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_keeper.py
@@ -23,7 +23,7 @@
     from crowrudder_core.catalog import FleetView
     from crowrudder_core.transfer import Transfer
     from crowrudder_daemon.fleet.ports import EnginePort
-    from crowrudder_daemon.fleet_agent._digests import Named
+    from crowrudder_daemon.fleet_agent._digests import NamedManifest
     from crowrudder_daemon.fleet_agent._engine_watch import EngineWatch
     from crowrudder_daemon.fleet_agent._library import Library
     from crowrudder_daemon.fleet_agent._loader import Loader
@@ -85,7 +85,7 @@
                 await self._idle()
                 continue
             try:
-                await self._pursue(goal)
+                await self._reconcile(goal)
             except CrowrudderError as exc:
                 self._on_failure(exc)
                 await asyncio.sleep(RETRY_S)
@@ -98,11 +98,11 @@
             'hinders': self._blocking_reason,
             'shares': {
                 name: round(transfer.share, 3)
-                for name, transfer in self._library.shelf.transfers.items()
+                for name, transfer in self._library.versions.transfers.items()
             },
         }
 
-    async def _pursue(self, goal: Goal) -> None:
+    async def _reconcile(self, goal: Goal) -> None:
         """Run one round: fetch what the goal needs, then load it."""
         goal, named = await self._reachable_goal(goal)
         if self._is_outdated(goal):
@@ -124,7 +124,7 @@
             prefetch.cancel()
 
     async def _fetch_and_load(
-        self, goal: Goal, named: Named, transfer: Transfer
+        self, goal: Goal, named: NamedManifest, transfer: Transfer
     ) -> None:
         """Fetch a version, and load it if the engine does not have it yet."""
         if not transfer.complete:
@@ -138,7 +138,7 @@
         await self._idle()
 
     async def _prefetch_newest(
-        self, goal: Goal, before: Named, older: Transfer
+        self, goal: Goal, before: NamedManifest, older: Transfer
     ) -> None:
         """Start to fetch the newest version while the previous one is fetched.
 
@@ -158,7 +158,7 @@
                 self._on_failure(exc)
                 await asyncio.sleep(RETRY_S)
                 continue
-            transfer.goes_behind = older
+            transfer.yields_to = older
             await self._library.collector(named, transfer).run()
             return
 
@@ -169,7 +169,7 @@
             async with asyncio.timeout(until_tick_s(IDLE_S)):
                 await self._changed.wait()
 
-    async def _reachable_goal(self, goal: Goal) -> tuple[Goal, Named]:
+    async def _reachable_goal(self, goal: Goal) -> tuple[Goal, NamedManifest]:
         """Return the goal, or the previous version if no manifest is available."""
         reading = asyncio.ensure_future(
             self._library.manifest(goal, is_urgent=not self._loaded_version)
@@ -187,7 +187,7 @@
             reading.cancel()
 
     async def _continue_previous(
-        self, goal: Goal, reading: asyncio.Future[Named]
+        self, goal: Goal, reading: asyncio.Future[NamedManifest]
     ) -> bool:
         """Continue to fetch the previous version until a manifest is read.
 
@@ -229,8 +229,8 @@
                 await asyncio.wait(jobs.values(), timeout=CHECK_INTERVAL_S)
                 if self._is_outdated(newest.goal):
                     return
-                if newest.transfer.origin.is_at_odds:
-                    newest.transfer.origin.on_doubted()
+                if newest.transfer.origin.is_manifest_suspect:
+                    newest.transfer.origin.on_manifest_reread()
                     self._library.manifests.distrust(newest.named)
                     return
                 await self._check_transfers(newest, jobs)
@@ -290,7 +290,7 @@
         hosts = self._view.engine_hosts(model).values()
         layers = self._watch.layers
         serving = sum(
-            upstream.layers.is_whole(layers)
+            upstream.layers.is_complete(layers)
             and self._may_start(model, upstream.weights)
             for upstream in hosts
         )
@@ -332,7 +332,7 @@
 
     async def _previous(
         self, goal: Goal, *, only_if_started: bool = False
-    ) -> tuple[Goal, Named] | None:
+    ) -> tuple[Goal, NamedManifest] | None:
         """Return the previous version if it is still worth loading.
 
         Parameters
@@ -368,7 +368,7 @@
     async def _load(
         self,
         goal: Goal,
-        named: Named,
+        named: NamedManifest,
         transfer: Transfer,
     ) -> None:
         await self._loader.wait_for_schedule(
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
@@ -9,23 +9,23 @@
 
 from attrs import frozen
 
-from crowrudder_core.membership import drawn
+from crowrudder_core.membership import sample_ips
 from crowrudder_core.transfer import (
     LinkShare,
     Place,
     ServiceHosts,
-    chunks_of,
-    layers_of,
+    chunks_of_layers,
+    layers_of_range,
 )
 from crowrudder_daemon._ticks import until_tick_s
 from crowrudder_daemon.chunks import (
     ChunkService,
     Collector,
-    EngineNote,
+    EngineStatus,
     PeerSource,
-    Shelf,
+    TransferMetrics,
     UploadSlots,
-    WeightsWatch,
+    VersionStore,
     apply_inventory,
 )
 from crowrudder_daemon.fleet_agent._digests import (
@@ -38,7 +38,7 @@
 from crowrudder_daemon.fleet_agent._origin_chunks import OriginChunks
 from crowrudder_daemon.settings import WeightsSection
 from crowrudder_model.fleet import NO_LAYERS, LayerRange
-from crowrudder_model.messages import ChunkNews, StockReply
+from crowrudder_model.messages import ChunkInventory, InventoryReply
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -47,7 +47,7 @@
     from crowrudder_core.transfer import Transfer
     from crowrudder_daemon.fleet import PeersTask, Tuning
     from crowrudder_daemon.fleet.ports import EnginePort, WeightsOriginPort
-    from crowrudder_daemon.fleet_agent._digests import Named
+    from crowrudder_daemon.fleet_agent._digests import NamedManifest
     from crowrudder_daemon.fleet_agent._goal import Goal
     from crowrudder_daemon.process import Runtime
     from crowrudder_daemon.rpc import PeerClient, PeerServer
@@ -57,23 +57,23 @@
 """Share of the process's memory for chunks: the rest is for the interpreter, the
 libraries and data in transit."""
 
-NEWS_S = 0.08
+INVENTORY_INTERVAL_S = 0.08
 """Interval of inventory messages to other agents while chunks are fetched.
 
 A chunk takes about as long on a slow link (5 Mbit/s)."""
 
-QUIET_S = 0.4
+IDLE_INVENTORY_INTERVAL_S = 0.4
 """Interval of inventory messages while nothing is fetched."""
 
-NEIGHBOURS = 12
+MAX_NEIGHBOURS = 12
 """Number of other agents that receive the chunk inventory."""
 
-FAR_NEIGHBOURS = 4
+MAX_REMOTE_NEIGHBOURS = 4
 """How many of these are in other regions, if the own region has enough agents:
 most chunks come from the own region, and traffic between regions is scarce and
 costs money."""
 
-PACE: dict[str, Any] = {
+TRANSFER_PACING: dict[str, Any] = {
     'poll_s': 1.0,
     'starved_s': 0.6,
     'origin_wait_s': 0.5,
@@ -124,19 +124,21 @@
         self._hosts = ServiceHosts(host=node.ip)
         self._hosts.on_hosts(self._listed_places())
         self._changed = asyncio.Event()
-        self._received: dict[str, dict[str, ChunkNews]] = {}
+        self._received: dict[str, dict[str, ChunkInventory]] = {}
         section = WeightsSection(
             memory_bytes=int(CHUNK_MEMORY_SHARE * node.memory_bytes),
             link_bytes_per_s=int(node.link_bytes_per_s),
             upload_slots=tuning.uploads_at_once,
             live_share=tuning.upload_share,
         )
-        self.shelf = Shelf(runtime, section, host=node.ip, pace=PACE)
-        self._engine_note = EngineNote()
+        self.versions = VersionStore(
+            runtime, section, host=node.ip, pace=TRANSFER_PACING
+        )
+        self._engine_note = EngineStatus()
         self._uplink = _link(section)
         # Inference requests are short, and their answers use the uplink.
         self._downlink = _link(section, live_share=1)
-        self._watch = WeightsWatch(runtime, self.shelf)
+        self._watch = TransferMetrics(runtime, self.versions)
         self._source = PeerSource(client)
         self.manifests = ManifestCache(
             runtime,
@@ -144,7 +146,7 @@
             self._address_of,
         )
         self._service = ChunkService(
-            self.shelf,
+            self.versions,
             self._engine_note,
             UploadSlots(section.upload_slots),
             self._uplink,
@@ -155,27 +157,29 @@
         """Register the calls by which other agents read chunks."""
         self._service.serve(server)
 
-    def chunks_heard(self, ip: str, news: ChunkNews) -> None:
+    def chunks_received(self, ip: str, news: ChunkInventory) -> None:
         """Apply another agent's chunk inventory."""
         self._received.setdefault(news.version, {})[ip] = news
-        transfer = self.shelf.find(news.version, news.manifest)
+        transfer = self.versions.find(news.version, news.manifest)
         if transfer is not None:
             _apply_inventory(transfer, ip, news)
 
     def on_change(self) -> None:
         """Apply a change of the published records."""
         self._hosts.on_hosts(self._listed_places())
-        for name, transfer in self.shelf.transfers.items():
+        for name, transfer in self.versions.transfers.items():
             transfer.on_hosts(self._hosts.places)
             if not transfer.complete:
                 transfer.first = self.part(name, transfer).chunks
 
-    def on_live(self, running: int) -> None:
+    def on_live_traffic(self, running: int) -> None:
         """Make the uplink yield to answers that are being streamed."""
         now = asyncio.get_running_loop().time()
-        self._uplink.on_live(0, running, now=now)
+        self._uplink.on_live_traffic(0, running, now=now)
 
-    async def manifest(self, goal: Goal, *, is_urgent: bool = False) -> Named:
+    async def manifest(
+        self, goal: Goal, *, is_urgent: bool = False
+    ) -> NamedManifest:
         """Return a version's manifest, see `ManifestCache`.
 
         Parameters
@@ -200,19 +204,19 @@
         known = self.manifests.known(goal.model, goal.version)
         return known is not None or bool(self._received.get(name))
 
-    def holds_part_of(self, named: Named) -> bool:
+    def holds_part_of(self, named: NamedManifest) -> bool:
         """Return whether any chunk of a version is held."""
         artifact = named.artifact
-        transfer = self.shelf.find(artifact.name, artifact.manifest)
+        transfer = self.versions.find(artifact.name, artifact.manifest)
         return transfer is not None and bool(transfer.held)
 
-    def open(self, *wanted: Named) -> list[Transfer]:
+    def open(self, *wanted: NamedManifest) -> list[Transfer]:
         """Start or continue to fetch versions; drop all other transfers."""
         names = frozenset(named.artifact.name for named in wanted)
         if names != self._engine_note.wanted:
             self._engine_note.wanted = names
             self._changed.set()
-        self.shelf.drop_others(names)
+        self.versions.drop_others(names)
         return [self._open(named) for named in wanted]
 
     async def import_staged(
@@ -230,9 +234,9 @@
         for index in sorted(await engine.staged(model)):
             if index < transfer.count and not transfer.held >> index & 1:
                 payload = await engine.get_chunk(model, index) or b''
-                transfer.on_found(index, payload, now=now())
+                transfer.on_local_chunk(index, payload, now=now())
 
-    def collector(self, named: Named, transfer: Transfer) -> Collector:
+    def collector(self, named: NamedManifest, transfer: Transfer) -> Collector:
         """Return a collector that reads the missing chunks of a version."""
         model = named.artifact.name.rpartition('@')[0]
         return Collector(
@@ -244,20 +248,20 @@
             downlink=self._downlink,
             address_of=self._address_of,
             watch=self._watch,
-            own_stock=lambda: self._service.stock(
+            own_inventory=lambda: self._service.stock(
                 named.artifact.name, transfer
             ),
         )
 
     async def send_inventories(self) -> None:
         """Send the chunk inventory to neighbours whenever it changes."""
-        last_sent: dict[str, ChunkNews] = {}
+        last_sent: dict[str, ChunkInventory] = {}
         while True:
             await self._wait_for_change()
             for news in self._inventories():
                 if last_sent.get(news.version) != news:
                     last_sent[news.version] = news
-                    self._peers.tell(news, self._neighbours())
+                    self._peers.send(news, self._neighbours())
 
     def places(self) -> Mapping[str, Place]:
         """Return the places of the service's hosts by IP address."""
@@ -270,11 +274,11 @@
         if not layers:
             return LayerPart()
         number = self._hosts.part(version)
-        held = layers_of(number, self._hosts.part_count, layers)
+        held = layers_of_range(number, self._hosts.layer_range_count, layers)
         return LayerPart(
             layers=held,
-            chunks=chunks_of(held, layers=layers, chunks=transfer.count),
-            is_whole=held.is_whole(layers),
+            chunks=chunks_of_layers(held, layers=layers, chunks=transfer.count),
+            is_whole=held.is_complete(layers),
         )
 
     def origin_address(self) -> str:
@@ -296,11 +300,11 @@
         places[self._node.ip] = Place(place.region, place.failure_domain)
         return places
 
-    def _open(self, named: Named) -> Transfer:
+    def _open(self, named: NamedManifest) -> Transfer:
         artifact = named.artifact
-        known = self.shelf.find(artifact.name, artifact.manifest)
+        known = self.versions.find(artifact.name, artifact.manifest)
         is_new = known is None or not known.is_sound
-        transfer = self.shelf.open(
+        transfer = self.versions.open(
             named.payload,
             artifact,
             copies=self._tuning.origin_copies,
@@ -329,21 +333,23 @@
         """Wait for the next interval, or for a newly opened version."""
         is_collecting = any(
             not (transfer.complete or transfer.dropped)
-            for transfer in self.shelf.transfers.values()
+            for transfer in self.versions.transfers.values()
         )
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(
-                NEWS_S if is_collecting else until_tick_s(QUIET_S)
+                INVENTORY_INTERVAL_S
+                if is_collecting
+                else until_tick_s(IDLE_INVENTORY_INTERVAL_S)
             ):
                 await self._changed.wait()
         self._changed.clear()
 
-    def _inventories(self) -> list[ChunkNews]:
+    def _inventories(self) -> list[ChunkInventory]:
         found = []
-        for name, transfer in self.shelf.transfers.items():
+        for name, transfer in self.versions.transfers.items():
             stock = self._service.stock(name, transfer)
             found.append(
-                ChunkNews(
+                ChunkInventory(
                     version=name,
                     manifest=transfer.manifest_digest,
                     chunks=stock.chunks,
@@ -356,17 +362,21 @@
 
     def _neighbours(self) -> list[str]:
         near, far = self._hosts.others_by_region
-        chosen = drawn(near, NEIGHBOURS - FAR_NEIGHBOURS, self._random)
-        return chosen + drawn(far, NEIGHBOURS - len(chosen), self._random)
+        chosen = sample_ips(
+            near, MAX_NEIGHBOURS - MAX_REMOTE_NEIGHBOURS, self._random
+        )
+        return chosen + sample_ips(
+            far, MAX_NEIGHBOURS - len(chosen), self._random
+        )
 
     def _address_of(self, host: str) -> str:
         return f'{host}:{self._node.rpc_port}'
 
 
-def _apply_inventory(transfer: Transfer, ip: str, news: ChunkNews) -> None:
+def _apply_inventory(transfer: Transfer, ip: str, news: ChunkInventory) -> None:
     apply_inventory(
         transfer,
-        StockReply(
+        InventoryReply(
             host=ip,
             version=news.version,
             chunks=news.chunks,
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_loader.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_loader.py
@@ -19,7 +19,7 @@
     from crowrudder_core.catalog import FleetView
     from crowrudder_core.transfer import Transfer
     from crowrudder_daemon.fleet.ports import EnginePort
-    from crowrudder_daemon.fleet_agent._digests import Named
+    from crowrudder_daemon.fleet_agent._digests import NamedManifest
     from crowrudder_daemon.fleet_agent._engine_watch import EngineWatch
     from crowrudder_daemon.fleet_agent._goal import Goal
     from crowrudder_daemon.process import Runtime
@@ -38,7 +38,7 @@
 not started 0.3 s before the end; the engine's answer that a request was not
 executed comes before that and is more useful to a caller."""
 
-LEAVE_PATHS_S = 1.0
+LEAVE_PIPELINES_S = 1.0
 """Time between the report that an engine drops its layer range and the load of
 another version; entries rely on a report of a layer range for half of that."""
 
@@ -46,7 +46,7 @@
 """Timeout of a load: running requests may take the longest timeout of callers."""
 
 CHECK_INTERVAL_S = 0.05
-EARLY_S = 0.25
+EARLY_STAGE_INTERVAL_S = 0.25
 """Interval of checks for chunks to stage early."""
 
 
@@ -111,7 +111,9 @@
                 return
             await asyncio.sleep(min(left_s, CHECK_INTERVAL_S))
 
-    async def load(self, goal: Goal, named: Named, transfer: Transfer) -> None:
+    async def load(
+        self, goal: Goal, named: NamedManifest, transfer: Transfer
+    ) -> None:
         """Drain, stage and order a version, and wait until it is loaded.
 
         Raises
@@ -121,7 +123,7 @@
         UpstreamError
             If the engine did not load them.
         """
-        transfer.assert_whole()
+        transfer.assert_complete()
         load = Load(goal.model, named.version, full(transfer.count))
         async with self._load_lock:
             # Another load may have loaded it, or a layer range of a newer
@@ -169,7 +171,7 @@
         """
         # Each chunk is verified, so it does not matter if the transfer was
         # dropped for a newer version.
-        if load.chunks & ~transfer.at_hand:
+        if load.chunks & ~transfer.servable_chunks:
             raise InvariantError(
                 f'a part of {transfer.manifest.version} is not held; it is '
                 'not loaded',
@@ -243,7 +245,7 @@
         """
         reading = self._watch.reading
         if reading is not None and reading.layers and not self._watch.whole:
-            await asyncio.sleep(LEAVE_PATHS_S)
+            await asyncio.sleep(LEAVE_PIPELINES_S)
 
     async def stage_early(self, goal: Goal, transfer: Transfer) -> None:
         """Stage chunks at the engine as they arrive, until cancelled.
@@ -270,7 +272,7 @@
                 if not await self._stage_one(goal.model, index, transfer):
                     return
                 staged.add(index)
-            await asyncio.sleep(EARLY_S)
+            await asyncio.sleep(EARLY_STAGE_INTERVAL_S)
 
     @property
     def _engine_started_ms(self) -> int:
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_manifest_cache.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_manifest_cache.py
@@ -13,12 +13,12 @@
 
     from crowrudder_daemon.fleet_agent._digests import (
         DigestReader,
-        Named,
+        NamedManifest,
     )
     from crowrudder_daemon.process import Runtime
-    from crowrudder_model.messages import ChunkNews
+    from crowrudder_model.messages import ChunkInventory
 
-    Heard = Callable[[], Mapping[str, ChunkNews]]
+    ReceivedInventories = Callable[[], Mapping[str, ChunkInventory]]
 
 RANK_WAIT_S = 0.03
 """Agents ask the origin for a manifest one after the other, at this interval, as
@@ -47,12 +47,17 @@
         self._runtime = runtime
         self._digests = digests
         self._address_of = address_of
-        self._named: dict[str, Named] = {}
+        self._named: dict[str, NamedManifest] = {}
         self._distrusted: set[str] = set()
 
     async def read(
-        self, model: str, version: int, *, rank: int, inventories: Heard
-    ) -> Named:
+        self,
+        model: str,
+        version: int,
+        *,
+        rank: int,
+        inventories: ReceivedInventories,
+    ) -> NamedManifest:
         """Return a version's manifest: a known one, a peer's or the origin's.
 
         Parameters
@@ -82,7 +87,7 @@
         )
         return named
 
-    def known(self, model: str, version: int) -> Named | None:
+    def known(self, model: str, version: int) -> NamedManifest | None:
         """Return a manifest read earlier; version 0 stands for the newest."""
         if version:
             return self._named.get(version_name(model, version))
@@ -93,7 +98,7 @@
         ]
         return max(of_model, key=lambda named: named.version, default=None)
 
-    def distrust(self, named: Named) -> None:
+    def distrust(self, named: NamedManifest) -> None:
         """Discard a manifest that contradicts the origin's chunks.
 
         If the origin returns a wrong digest to all readers for a while, the
@@ -109,8 +114,8 @@
         )
 
     async def _from_peers(
-        self, version: int, rank: int, inventories: Heard
-    ) -> Named | None:
+        self, version: int, rank: int, inventories: ReceivedInventories
+    ) -> NamedManifest | None:
         """Read from an agent that reports the version, waiting up to the rank."""
         if not version:
             return None
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_origin_chunks.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_origin_chunks.py
@@ -47,5 +47,5 @@
                 exc.message, step=exc.step, peer=exc.peer
             ) from exc
 
-    def distrust_store(self) -> None:
+    def on_bad_store_chunk(self) -> None:
         """Do nothing: there is no store in front of the origin."""
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_role.py
@@ -21,7 +21,7 @@
     )
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.fleet import Node
-    from crowrudder_model.messages import ChunkNews
+    from crowrudder_model.messages import ChunkInventory
 
 
 def build_fleet_agent(
@@ -69,7 +69,7 @@
             engine,
             self.peers,
             self._layers,
-            on_running=self.library.on_live,
+            on_running=self.library.on_live_traffic,
         )
         loader = Loader(
             runtime, node, view=view, engine=engine, watch=self.watch
@@ -132,9 +132,9 @@
         """Raise: agents do not route requests."""
         raise NotImplementedError
 
-    def chunks_heard(self, ip: str, news: ChunkNews) -> None:
+    def chunks_received(self, ip: str, news: ChunkInventory) -> None:
         """Forward another agent's chunk inventory to the library."""
-        self.library.chunks_heard(ip, news)
+        self.library.chunks_received(ip, news)
 
     def on_change(self) -> None:
         """Apply a change of the published records."""
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt.py
@@ -16,7 +16,7 @@
     NotRun,
     NotSent,
 )
-from crowrudder_core.forecast import Work
+from crowrudder_core.forecast import InFlightRequest
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet.ports import SendTerms
 from crowrudder_daemon.fleet_entry._version_end import MIN_START_WINDOW_S
@@ -29,12 +29,12 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from crowrudder_core.dispatch import Dispatch, Ending
+    from crowrudder_core.dispatch import AttemptOutcome, Dispatch
     from crowrudder_core.forecast import Choice
     from crowrudder_daemon.fleet.ports import (
-        AnswerMark,
         Call,
-        CallersDialect,
+        CallerProtocol,
+        ResponseMetadata,
     )
     from crowrudder_daemon.fleet_entry._caller_side import CallerSide
     from crowrudder_daemon.fleet_entry._timeouts import AttemptTimeouts
@@ -91,7 +91,7 @@
     events: EventStream
     is_stream: bool
     _side: CallerSide
-    _dialect: CallersDialect
+    _dialect: CallerProtocol
     _upstreams: Upstreams
     answer: WireAnswer | None = field(default=None, init=False)
     is_complete: bool = field(default=False, init=False)
@@ -119,9 +119,9 @@
         """Initialise the deadline to begin from the timeouts."""
         self.begin_by = self.timeouts.begin_by
 
-    async def run(self) -> Ending:
+    async def run(self) -> AttemptOutcome:
         """Run the attempt and return how it ended."""
-        upstream = self.choice.outlook.upstream
+        upstream = self.choice.forecast.upstream
         if not self._upstreams.limits.take(upstream.id):
             return NotSent('its limit allows no more requests now')
         try:
@@ -130,7 +130,7 @@
             )
         except NotConnectedError as exc:
             self.is_refused = exc.is_refused
-            self.choice.outlook.on_bad(now=clock_s(), avoid=True)
+            self.choice.forecast.on_failure(now=clock_s(), avoid=True)
             return NotSent(str(exc))
         try:
             return await self._run_on(conn)
@@ -140,8 +140,8 @@
             conn.close()
             raise
 
-    async def _run_on(self, conn: HttpConnection) -> Ending:
-        upstream = self.choice.outlook.upstream
+    async def _run_on(self, conn: HttpConnection) -> AttemptOutcome:
+        upstream = self.choice.forecast.upstream
         now = clock_s()
         if not self.dispatch.may_send(now):
             conn.close()
@@ -153,7 +153,7 @@
             # The wait for the connection used up the time to begin.
             conn.close()
             return NotSent('no time left to begin in')
-        request = self._dialect.request_for(
+        request = self._dialect.upstream_request(
             self.call, self.body, self._terms(now)
         )
         try:
@@ -166,10 +166,12 @@
         if math.isfinite(begin_left_s):
             self.begin_left_s = begin_left_s
         self._ticket = self._upstreams.add_pending(self)
-        outlook = self.choice.outlook
-        self.load_report_age_s = outlook.word_age_s(now)
-        for each in self.choice.outlooks:
-            each.on_sent(self._ticket, Work(self.call.prompt_tokens, now))
+        forecast = self.choice.forecast
+        self.load_report_age_s = forecast.load_report_age_s(now)
+        for each in self.choice.forecasts:
+            each.on_sent(
+                self._ticket, InFlightRequest(self.call.prompt_tokens, now)
+            )
         try:
             return await self._read(conn)
         except (BrokenAnswerError, TimeoutError) as exc:
@@ -183,7 +185,7 @@
             return Broken(str(exc) or 'silent for too long')
         finally:
             self._upstreams.remove_pending(self._ticket)
-            for each in self.choice.outlooks:
+            for each in self.choice.forecasts:
                 each.on_ended(self._ticket)
 
     @property
@@ -212,15 +214,15 @@
     def _record_failure(self) -> None:
         """Record a failure, unless the engine ended it to load a version."""
         now = clock_s()
-        outlook = self.choice.outlook
-        if not outlook.is_changing(now):
-            outlook.on_bad(now=now, avoid=True)
+        forecast = self.choice.forecast
+        if not forecast.is_changing(now):
+            forecast.on_failure(now=now, avoid=True)
 
     def _terms(self, now: float) -> SendTerms:
-        outlook = self.choice.outlook
+        forecast = self.choice.forecast
         return SendTerms(
-            upstream_id=outlook.upstream.id,
-            left_s=self.dispatch.limit_at - now,
+            upstream_id=forecast.upstream.id,
+            left_s=self.dispatch.deadline_at - now,
             customer=self.customer,
             weights=self.choice.weights,
             urgency=self.urgency,
@@ -228,17 +230,17 @@
             path=self.choice.path.parts if self.choice.path else (),
         )
 
-    async def _read(self, conn: HttpConnection) -> Ending:
+    async def _read(self, conn: HttpConnection) -> AttemptOutcome:
         head, mark = await self._matching_head(conn)
         self.time_to_head_s = clock_s() - self.sent_at
         self.limit_per_s = mark.limit_per_s
         self._upstreams.limits.on_answer(
-            self.choice.outlook.upstream.id, mark.limit_per_s
+            self.choice.forecast.upstream.id, mark.limit_per_s
         )
         if mark.not_run:
             return await self._not_run(conn, head, mark)
         if self.is_stream and head.status < FIRST_NON_SUCCESS_STATUS:
-            if not mark.is_vouched:
+            if not mark.is_authentic:
                 raise BrokenAnswerError(
                     'nobody vouches for it', step='answer', peer=conn.peer
                 )
@@ -247,7 +249,7 @@
 
     async def _matching_head(
         self, conn: HttpConnection
-    ) -> tuple[WireHead, AnswerMark]:
+    ) -> tuple[WireHead, ResponseMetadata]:
         """Return the head of this request's answer; discard other answers.
 
         An upstream may answer an earlier request of the connection twice.
@@ -257,7 +259,7 @@
         async with self._waiting(left_s):
             for _ in range(MAX_STRAY_ANSWERS):
                 head = await conn.head()
-                mark = self._dialect.mark_of(head)
+                mark = self._dialect.response_metadata(head)
                 own = self.call.request_id
                 if not own or mark.request_id in {'', own}:
                     return head, mark
@@ -271,20 +273,20 @@
         self,
         conn: HttpConnection,
         head: WireHead,
-        mark: AnswerMark,
+        mark: ResponseMetadata,
     ) -> NotRun:
         async with asyncio.timeout(self.timeouts.pause_s):
             await conn.drain()
         self._upstreams.pool.keep(conn, head)
-        self.choice.outlook.on_bad(now=clock_s(), avoid=False)
+        self.choice.forecast.on_failure(now=clock_s(), avoid=False)
         return NotRun(f'answered {head.status}', mark.retry_after_s)
 
     async def _buffer_answer(
         self,
         conn: HttpConnection,
         head: WireHead,
-        mark: AnswerMark,
-    ) -> Ending:
+        mark: ResponseMetadata,
+    ) -> AttemptOutcome:
         """Buffer an answer until it is complete."""
         parts: list[bytes] = []
         size = 0
@@ -295,7 +297,7 @@
                 raise BrokenAnswerError(
                     'longer than allowed', step='answer', peer=conn.peer
                 )
-        if not mark.is_vouched or head.status in NOT_EXECUTED_STATUSES:
+        if not mark.is_authentic or head.status in NOT_EXECUTED_STATUSES:
             raise BrokenAnswerError(
                 f'answered {head.status}, which is no answer to pass on',
                 step='answer',
@@ -308,7 +310,9 @@
         )
         return Answered(head.status)
 
-    async def _stream(self, conn: HttpConnection, head: WireHead) -> Ending:
+    async def _stream(
+        self, conn: HttpConnection, head: WireHead
+    ) -> AttemptOutcome:
         """Forward complete events as they arrive."""
         self.events.begin_attempt()
         while not self._has_begun:
@@ -381,7 +385,7 @@
         if self._side.has_begun:
             await self._side.write(complete_events)
             return
-        headers = self._dialect.passed_back(head)
+        headers = self._dialect.response_headers(head)
         await self._side.begin(head.status, headers, complete_events)
 
     def _record_first_event(self) -> None:
@@ -389,7 +393,7 @@
             return
         now = clock_s()
         self.time_to_first_event_s = now - self.sent_at
-        self.choice.outlook.on_begun(
+        self.choice.forecast.on_begun(
             self._ticket, forecast_s=self.choice.first_s, now=now
         )
 
@@ -401,14 +405,14 @@
         its full share of the requests.
         """
         now = clock_s()
-        self.events.note_passed(now)
+        self.events.on_forwarded(now)
         if now - self._last_event_at > self.timeouts.late_pause_s:
-            self.choice.outlook.on_paused()
+            self.choice.forecast.on_stream_stall()
         self._last_event_at = now
 
     def _record_completion(self, *, is_good: bool) -> None:
         now = clock_s()
         if is_good:
-            self.choice.outlook.on_good(now - self.sent_at)
+            self.choice.forecast.on_success(now - self.sent_at)
         else:
-            self.choice.outlook.on_bad(now=now, avoid=False)
+            self.choice.forecast.on_failure(now=now, avoid=False)
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt_log.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt_log.py
@@ -5,14 +5,16 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from crowrudder_core.dispatch import Ending
+    from crowrudder_core.dispatch import AttemptOutcome
     from crowrudder_daemon.fleet_entry._attempt import Attempt
 
 IN_PROGRESS = 'under way'
 """The logged ending of an attempt that was running when its request ended."""
 
 
-def log_fields(attempt: Attempt, ending: Ending | None) -> dict[str, Any]:
+def log_fields(
+    attempt: Attempt, ending: AttemptOutcome | None
+) -> dict[str, Any]:
     """Return the log fields of an attempt as JSON-compatible values.
 
     A cancelled attempt has further fields, which show whether the entry
@@ -20,13 +22,13 @@
     """
     left_s = attempt.begin_left_s
     line = {
-        'upstream': attempt.choice.outlook.upstream.id,
+        'upstream': attempt.choice.forecast.upstream.id,
         'weights': attempt.choice.weights,
         'forecast_s': round(attempt.choice.first_s, 3),
         'begin_left_s': None if left_s is None else round(left_s, 3),
         'first_s': round(attempt.time_to_first_event_s, 3),
         'ran_s': round(attempt.ran_s, 3),
-        'engines': len(attempt.choice.outlooks),
+        'engines': len(attempt.choice.forecasts),
         'word_age_s': round(attempt.load_report_age_s, 2),
         'ending': type(ending).__name__ if ending else IN_PROGRESS,
         'why': getattr(ending, 'reason', ''),
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_context.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_context.py
@@ -7,7 +7,7 @@
 from attrs import define, field
 
 if TYPE_CHECKING:
-    from crowrudder_daemon.fleet.ports import CallersDialect
+    from crowrudder_daemon.fleet.ports import CallerProtocol
     from crowrudder_daemon.fleet_entry._quarantine import RequestQuarantine
     from crowrudder_daemon.fleet_entry._upstreams import Upstreams
     from crowrudder_daemon.process import Runtime
@@ -25,7 +25,7 @@
 class EntryContext:
     """The dialect, the upstreams, the quarantine and the request metrics."""
 
-    dialect: CallersDialect
+    dialect: CallerProtocol
     upstreams: Upstreams
     quarantine: RequestQuarantine
     _runtime: Runtime
@@ -60,7 +60,7 @@
             bounds=SEND_BOUNDS_S,
         )
 
-    def note_end(
+    def record_end(
         self,
         _drive: object,
         *,
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_directory.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_directory.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from crowrudder_daemon.fleet.ports import CallersDialect
-    from crowrudder_model.messages import MemberWord
+    from crowrudder_daemon.fleet.ports import CallerProtocol
+    from crowrudder_model.messages import MemberStatus
 
 MAX_ADDRESSES = 64
 """Callers accept no more addresses than this."""
@@ -54,8 +54,8 @@
     def __init__(
         self,
         *,
-        dialect: CallersDialect,
-        entries: Callable[[], list[MemberWord]],
+        dialect: CallerProtocol,
+        entries: Callable[[], list[MemberStatus]],
         own: str,
         is_ready: Callable[[], bool],
         ttl_s: float,
@@ -79,7 +79,7 @@
 
     def answer(self, arguments: dict[str, str]) -> bytes:
         """Return the encoded answer for a caller."""
-        return self._dialect.directory_answer(self.addresses(), self._ttl_s)
+        return self._dialect.encode_directory(self.addresses(), self._ttl_s)
 
     def addresses(self) -> list[str]:
         """Return the ready entries, else those that are not leaving.
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_drive.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_drive.py
@@ -31,7 +31,7 @@
 from crowrudder_model.fleet import RouteKind
 
 if TYPE_CHECKING:
-    from crowrudder_core.dispatch import Ending, Next
+    from crowrudder_core.dispatch import AttemptOutcome, Decision
     from crowrudder_core.forecast import Choice
     from crowrudder_daemon.fleet.ports import Call
     from crowrudder_daemon.fleet_entry._caller_side import CallerSide
@@ -67,7 +67,7 @@
 
 
 @define(kw_only=True, eq=False)
-class Drive:
+class RequestExecution:
     """The execution of one request, which ends with one final answer."""
 
     call: Call
@@ -93,8 +93,8 @@
             wait_s = min(wait_s, self.call.wait_s - ANSWER_MARGIN_S)
         self.dispatch = Dispatch(
             repeatable=route.repeatable,
-            most_sends=route.attempts,
-            limit_at=self.arrived_at + wait_s,
+            max_sends=route.attempts,
+            deadline_at=self.arrived_at + wait_s,
         )
         self.digest = request_digest(
             method=self.call.method,
@@ -113,7 +113,7 @@
         finally:
             quarantine.untrack(self)
 
-    def on_convicted(self) -> None:
+    def on_quarantined(self) -> None:
         """Cancel an attempt that has not begun; let a stream run to its end."""
         attempt, wait = self._current_attempt, self._wait
         has_begun = attempt is not None and attempt.time_to_first_event_s >= 0
@@ -122,7 +122,7 @@
 
     async def _run(self) -> None:
         try:
-            async with asyncio.timeout(self.dispatch.limit_at - clock_s()):
+            async with asyncio.timeout(self.dispatch.deadline_at - clock_s()):
                 next_step = await self._run_attempts()
         except TimeoutError:
             next_step = self.dispatch.refuse('out of time', MIN_RETRY_AFTER_S)
@@ -135,9 +135,9 @@
         else:
             await self._finish(next_step, HTTPStatus.BAD_GATEWAY)
 
-    async def _run_attempts(self) -> Next:
+    async def _run_attempts(self) -> Decision:
         while True:
-            if self.context.quarantine.is_convicted(self.digest):
+            if self.context.quarantine.is_quarantined(self.digest):
                 return self._reject_quarantined()
             is_retryable = self._is_retryable
             choice = self._choose(is_retryable=is_retryable)
@@ -156,7 +156,7 @@
                     await self._relay(attempt)
                 return next_step
 
-    async def _run_attempt(self, attempt: Attempt) -> Ending:
+    async def _run_attempt(self, attempt: Attempt) -> AttemptOutcome:
         """Run an attempt, and cancel it if its request is quarantined."""
         wait = asyncio.timeout(None)
         self._wait = wait
@@ -170,18 +170,22 @@
         finally:
             self._wait = None
 
-    def _report_incarnations(self, attempt: Attempt, ending: Ending) -> None:
+    def _report_incarnations(
+        self, attempt: Attempt, ending: AttemptOutcome
+    ) -> None:
         """Report to the quarantine how an attempt affected its upstreams."""
         quarantine = self.context.quarantine
-        incarnation_ids = [each.upstream.id for each in attempt.choice.outlooks]
+        incarnation_ids = [
+            each.upstream.id for each in attempt.choice.forecasts
+        ]
         match ending:
             case Answered():
-                quarantine.on_whole(self.digest)
+                quarantine.on_run_completed(self.digest)
             case Broken() if attempt.is_cut_off:
-                quarantine.on_broken(
+                quarantine.on_connection_closed(
                     self.digest, incarnation_ids, ran_s=attempt.ran_s
                 )
-                self.context.upstreams.probe.start(attempt.choice.outlook)
+                self.context.upstreams.probe.start(attempt.choice.forecast)
             case NotSent() if attempt.is_refused:
                 quarantine.on_incarnation_ended(incarnation_ids[0])
 
@@ -189,10 +193,10 @@
         reason = self.context.quarantine.refuse(self.digest)
         return Fail(reason) if self.side.has_begun else Reject(reason)
 
-    def _next_step(self, attempt: Attempt, ending: Ending) -> Next:
+    def _next_step(self, attempt: Attempt, ending: AttemptOutcome) -> Decision:
         if attempt.is_complete:
             return Relay()
-        if self.context.quarantine.is_convicted(self.digest):
+        if self.context.quarantine.is_quarantined(self.digest):
             return self._reject_quarantined()
         if self.side.has_begun and isinstance(ending, Answered):
             # A stream that has begun can't continue with an error answer.
@@ -200,13 +204,13 @@
         return self.dispatch.after(
             ending,
             now=clock_s(),
-            take_retry=self._take_retry,
+            spend_retry=self._take_retry,
         )
 
     def _take_retry(self) -> bool:
-        if not self.context.quarantine.may_send_again(self.digest):
+        if not self.context.quarantine.may_retry(self.digest):
             return False
-        return self.context.upstreams.take_retry(self.admitted.service)
+        return self.context.upstreams.spend_retry(self.admitted.service)
 
     def _choose(self, *, is_retryable: bool) -> Choice | None:
         return self.context.upstreams.choose(
@@ -228,7 +232,7 @@
             if attempt['ending'] == NotSent.__name__
         }
 
-    def _forecast_refusal(self, choice: Choice | None) -> Next | None:
+    def _forecast_refusal(self, choice: Choice | None) -> Decision | None:
         """Return a refusal if the first attempt is forecast to be too late."""
         if choice is None or self.dispatch.sends or self.side.has_begun:
             return None
@@ -247,7 +251,7 @@
 
     def _max_forecast_goals(self, choice: Choice) -> float:
         """Return the multiple of the goal that a forecast may reach."""
-        if choice.outlook.is_crowded(clock_s()):
+        if choice.forecast.is_crowded(clock_s()):
             return CROWDED_FORECAST_GOALS
         return (
             RETURNING_FORECAST_GOALS
@@ -265,7 +269,7 @@
         wait_s, route = self.call.wait_s, self.admitted.route
         return wait_s is not None and wait_s < route.timeout_s - route.goal_s
 
-    def _refuse_without_upstream(self) -> Next:
+    def _refuse_without_upstream(self) -> Decision:
         return self.dispatch.refuse(
             f'no upstream of {self.admitted.service} can serve this now',
         )
@@ -298,7 +302,7 @@
         """Whether another attempt may follow if the next one is abandoned."""
         return (
             self.dispatch.repeatable
-            and self.dispatch.sends + 1 < self.dispatch.most_sends
+            and self.dispatch.sends + 1 < self.dispatch.max_sends
             and self.context.upstreams.has_retry(self.admitted.service)
         )
 
@@ -309,11 +313,11 @@
             return
         await self.side.answer(
             answer.head.status,
-            self.context.dialect.passed_back(answer.head),
+            self.context.dialect.response_headers(answer.head),
             answer.body,
         )
 
-    async def _finish(self, next_step: Next, failed: HTTPStatus) -> None:
+    async def _finish(self, next_step: Decision, failed: HTTPStatus) -> None:
         match next_step:
             case Refuse(reason=reason, retry_after_s=after_s):
                 answer = ErrorAnswer(
@@ -355,7 +359,9 @@
         except CallerGoneError:
             self._record_end('caller_gone', answer.status)
 
-    def _record_attempt(self, attempt: Attempt, ending: Ending | None) -> None:
+    def _record_attempt(
+        self, attempt: Attempt, ending: AttemptOutcome | None
+    ) -> None:
         if attempt.sent_at and self._sent_s < 0:
             self._sent_s = attempt.sent_at - self.arrived_at
         first_s = attempt.time_to_first_event_s
@@ -370,7 +376,7 @@
         if self._current_attempt is not None:
             self._record_attempt(self._current_attempt, None)
             self._current_attempt = None
-        self.context.note_end(
+        self.context.record_end(
             self,
             outcome=outcome,
             extra={
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_error_answer.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_error_answer.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from http import HTTPStatus
 
-    from crowrudder_daemon.fleet.ports import Call, CallersDialect
+    from crowrudder_daemon.fleet.ports import Call, CallerProtocol
     from crowrudder_daemon.fleet_entry._caller_side import CallerSide
 
 
@@ -30,7 +30,7 @@
 
 async def send_error(
     side: CallerSide,
-    dialect: CallersDialect,
+    dialect: CallerProtocol,
     call: Call | None,
     answer: ErrorAnswer,
 ) -> None:
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
@@ -7,14 +7,14 @@
 from crowrudder_core.limits import NamedLimits, senders_of
 from crowrudder_core.membership import split_by_region
 from crowrudder_daemon._clock import clock_s
-from crowrudder_model.messages import LimitNews
+from crowrudder_model.messages import LimitUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from crowrudder_daemon.fleet import PeersTask
     from crowrudder_daemon.process import Runtime
-    from crowrudder_model.messages import LimitWord
+    from crowrudder_model.messages import LimitReport
 
 SENDERS_CACHE_S = 0.25
 """How long the share of a limited upstream is cached: computing who sends to it
@@ -54,9 +54,9 @@
         report = self._limits.on_answer(upstream_id, per_s, now=clock_s())
         if report is not None:
             self._log(report, self._peers.roster.own.ip)
-            self._peers.tell_partners(LimitNews((report,)))
+            self._peers.send_to_partners(LimitUpdate((report,)))
 
-    def on_news(self, ip: str, news: LimitNews) -> None:
+    def on_update(self, ip: str, news: LimitUpdate) -> None:
         """Apply the reports of another entry and forward the new ones."""
         if not self._peers.roster.knows(ip, now=clock_s()):
             self._runtime.log.debug(
@@ -65,13 +65,13 @@
             )
             return
         for report in news.words[:MAX_REPORTS_PER_DATAGRAM]:
-            if self._limits.on_word(report, now=clock_s()) is not None:
+            if self._limits.on_report(report, now=clock_s()) is not None:
                 self._log(report, ip)
-                self._peers.tell_partners(LimitNews((report,)))
+                self._peers.send_to_partners(LimitUpdate((report,)))
 
-    def has_room(self, upstream_id: str) -> bool:
+    def has_capacity(self, upstream_id: str) -> bool:
         """Return whether a request may be sent to an upstream now."""
-        return self._limits.has_room(upstream_id, now=clock_s())
+        return self._limits.has_capacity(upstream_id, now=clock_s())
 
     def take(self, upstream_id: str) -> bool:
         """Count a send; return whether the limit of the upstream allows it."""
@@ -108,7 +108,7 @@
         is_sender = self._peers.roster.own.ip in senders
         return 1 / len(senders) if is_sender else 0
 
-    def _log(self, report: LimitWord, source_ip: str) -> None:
+    def _log(self, report: LimitReport, source_ip: str) -> None:
         self._runtime.log.info(
             'limit of an upstream',
             extra={
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_load_relay.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_load_relay.py
@@ -63,7 +63,7 @@
     def forward(self, batch: LoadBatch) -> None:
         """Forward a batch from another region to the entries of the own one."""
         near, _ = self._peers.entry_ips()
-        self._peers.tell(
+        self._peers.send(
             replace(batch, pass_on=False),
             [ip for ip in near if ip != self._node.ip],
         )
@@ -82,7 +82,7 @@
         reports = self._recent_reports(now)
         for first in range(0, len(reports), MAX_LOADS_PER_BATCH):
             part = reports[first : first + MAX_LOADS_PER_BATCH]
-            self._peers.tell(_batch(part, now), targets)
+            self._peers.send(_batch(part, now), targets)
 
     def _targets(self) -> list[str]:
         """Return the target relay of each other region; none if not a relay.
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
@@ -8,15 +8,15 @@
 
 from crowrudder_core.quarantine import (
     Audience,
-    Convicted,
     Quarantine,
-    Tell,
+    Quarantined,
+    SendSuspicion,
     digest_text,
     owners,
 )
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon._ticks import sleep_to_tick
-from crowrudder_model.messages import SuspectNews
+from crowrudder_model.messages import SuspicionUpdate
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -24,7 +24,7 @@
     from crowrudder_core.quarantine import Effect
     from crowrudder_daemon.fleet import PeersTask
     from crowrudder_daemon.process import Runtime
-    from crowrudder_model.messages import SuspectWord
+    from crowrudder_model.messages import SuspicionReport
 
 REMINDER_INTERVAL_S = 1.0
 """Interval of the reminders, each of which goes to one random other entry."""
@@ -38,7 +38,7 @@
 
     digest: int
 
-    def on_convicted(self) -> None:
+    def on_quarantined(self) -> None:
         """Stop sending the request to upstreams."""
 
 
@@ -76,27 +76,27 @@
         if not requests:
             del self._active[request.digest]
 
-    def is_convicted(self, digest: int) -> bool:
+    def is_quarantined(self, digest: int) -> bool:
         """Return whether a request is quarantined."""
-        return self._core.is_convicted(digest, now=clock_s())
+        return self._core.is_quarantined(digest, now=clock_s())
 
     def refuse(self, digest: int) -> str:
         """Record a refusal and return its reason."""
         now = clock_s()
         self._refused.add()
         self._core.on_refused(digest, now=now)
-        ended = ', '.join(self._core.lives_under(digest, now=now))
+        ended = ', '.join(self._core.ended_incarnations(digest, now=now))
         return f'upstreams ended under this request: {ended}'
 
-    def may_send_again(self, digest: int) -> bool:
+    def may_retry(self, digest: int) -> bool:
         """Return whether a broken request may be sent to another upstream."""
-        return self._core.may_send_again(digest, now=clock_s())
+        return self._core.may_retry(digest, now=clock_s())
 
-    def on_broken(
+    def on_connection_closed(
         self, digest: int, incarnation_ids: Iterable[str], *, ran_s: float
     ) -> None:
         """Record an attempt whose connection was closed by the upstream."""
-        self._core.on_broken(
+        self._core.on_connection_closed(
             digest, incarnation_ids, ran_s=ran_s, now=clock_s()
         )
 
@@ -104,7 +104,7 @@
         self, incarnation_id: str, *, age_s: float
     ) -> None:
         """Record that an incarnation was running ``age_s`` ago."""
-        self._core.on_sound(incarnation_id, as_of=clock_s() - age_s)
+        self._core.on_upstream_alive(incarnation_id, as_of=clock_s() - age_s)
 
     def on_incarnation_ended(self, incarnation_id: str) -> None:
         """Record that an upstream's incarnation has ended."""
@@ -115,7 +115,7 @@
         digests = [
             digest_text(effect.word.digest)
             for effect in effects
-            if isinstance(effect, Tell)
+            if isinstance(effect, SendSuspicion)
         ]
         self._runtime.log.info(
             'upstream ended under requests',
@@ -128,9 +128,9 @@
         )
         self._apply(effects)
 
-    def on_whole(self, digest: int) -> None:
+    def on_run_completed(self, digest: int) -> None:
         """Record that a request received a complete answer."""
-        effects = self._core.on_whole(digest, now=clock_s())
+        effects = self._core.on_run_completed(digest, now=clock_s())
         if effects:
             self._runtime.log.info(
                 'request ran whole and is cleared',
@@ -138,7 +138,7 @@
             )
             self._apply(effects)
 
-    def on_news(self, ip: str, news: SuspectNews) -> None:
+    def on_update(self, ip: str, news: SuspicionUpdate) -> None:
         """Apply the reports of another entry."""
         if not self._peers.roster.knows(ip, now=clock_s()):
             self._runtime.log.debug(
@@ -146,13 +146,13 @@
                 extra={'step': 'quarantine', 'peer': ip},
             )
             return
-        self._apply(self._core.on_news(news, now=clock_s()))
+        self._apply(self._core.on_update(news, now=clock_s()))
 
     async def send_reminders(self) -> None:
         """Repeat reports for entries that have started since or missed them."""
         while True:
             await sleep_to_tick(REMINDER_INTERVAL_S)
-            reports = self._core.reminder(self._random, now=clock_s())
+            reports = self._core.sample_reports(self._random, now=clock_s())
             others = self._others()
             if reports and others:
                 self._send(reports, [self._random.choice(others)])
@@ -160,12 +160,12 @@
     def _apply(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Tell(word=report, audience=Audience.PARTNERS):
-                    self._peers.tell_partners(SuspectNews((report,)))
-                case Tell(word=report):
+                case SendSuspicion(word=report, audience=Audience.PARTNERS):
+                    self._peers.send_to_partners(SuspicionUpdate((report,)))
+                case SendSuspicion(word=report):
                     ips = owners(report.digest, self._entry_ips())
                     self._send([report], self._without_own(ips))
-                case Convicted(digest=digest, lives=incarnation_ids):
+                case Quarantined(digest=digest, lives=incarnation_ids):
                     self._on_convicted(digest, incarnation_ids)
 
     def _on_convicted(
@@ -183,11 +183,11 @@
             },
         )
         for request in requests:
-            request.on_convicted()
+            request.on_quarantined()
 
-    def _send(self, reports: list[SuspectWord], ips: list[str]) -> None:
+    def _send(self, reports: list[SuspicionReport], ips: list[str]) -> None:
         if ips:
-            self._peers.tell(SuspectNews(tuple(reports)), ips)
+            self._peers.send(SuspicionUpdate(tuple(reports)), ips)
 
     def _entry_ips(self) -> list[str]:
         return [entry.ip for entry in self._peers.entries()]
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_requests_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_requests_task.py
@@ -9,7 +9,7 @@
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet.ports import BadCallError
 from crowrudder_daemon.fleet_entry._caller_side import CallerGoneError
-from crowrudder_daemon.fleet_entry._drive import Admitted, Drive
+from crowrudder_daemon.fleet_entry._drive import Admitted, RequestExecution
 from crowrudder_daemon.fleet_entry._error_answer import ErrorAnswer, send_error
 
 if TYPE_CHECKING:
@@ -96,7 +96,7 @@
             await self._deny(side, call, admitted)
             return
         self._context.upstreams.on_request(admitted.service)
-        drive = Drive(
+        drive = RequestExecution(
             call=call,
             body=request.body,
             admitted=admitted,
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
@@ -20,14 +20,14 @@
 
 if TYPE_CHECKING:
     from crowrudder_daemon.fleet import Tuning
-    from crowrudder_daemon.fleet.ports import CallersDialect, PublishedSource
+    from crowrudder_daemon.fleet.ports import CallerProtocol, PublishedSource
     from crowrudder_daemon.process import Runtime
     from crowrudder_model.fleet import Node
     from crowrudder_model.messages import (
         EngineLoad,
-        LimitNews,
+        LimitUpdate,
         LoadBatch,
-        SuspectNews,
+        SuspicionUpdate,
     )
 
 MAX_HEADER_BYTES = 65_536
@@ -51,7 +51,7 @@
     node: Node,
     tuning: Tuning,
     source: PublishedSource,
-    dialect: CallersDialect,
+    dialect: CallerProtocol,
 ) -> FleetEntry:
     """Return the entry of a node, not started yet."""
     return FleetEntry(runtime, node, tuning, source, dialect)
@@ -66,7 +66,7 @@
         node: Node,
         tuning: Tuning,
         source: PublishedSource,
-        dialect: CallersDialect,
+        dialect: CallerProtocol,
     ) -> None:
         super().__init__(runtime, node, source)
         self._leaving = False
@@ -162,28 +162,28 @@
             'upstreams': self.upstreams.status(),
         }
 
-    def load_heard(self, load: EngineLoad) -> None:
+    def load_received(self, load: EngineLoad) -> None:
         """Apply an agent's load report and relay it to other regions."""
         self.upstreams.on_load(load)
         self._relay.on_load(load)
 
-    def loads_heard(self, batch: LoadBatch) -> None:
+    def loads_received(self, batch: LoadBatch) -> None:
         """Apply load reports of another region and forward them in this one."""
         self.upstreams.on_loads(batch)
         if batch.pass_on:
             self._relay.forward(batch)
 
-    def suspects_heard(self, ip: str, news: SuspectNews) -> None:
+    def suspects_received(self, ip: str, news: SuspicionUpdate) -> None:
         """Apply an entry's reports on requests under which upstreams ended."""
-        self.quarantine.on_news(ip, news)
+        self.quarantine.on_update(ip, news)
 
-    def limits_heard(self, ip: str, news: LimitNews) -> None:
+    def limits_received(self, ip: str, news: LimitUpdate) -> None:
         """Apply an entry's reports on limits that upstreams named."""
-        self.upstreams.limits.on_news(ip, news)
+        self.upstreams.limits.on_update(ip, news)
 
     def on_change(self) -> None:
         """Apply a change of the published records."""
-        self.upstreams.renew()
+        self.upstreams.refresh()
         config = self.catalog.view.config
         if config is not None:
             # Tornado has a single timeout for idle connections and for headers.
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_timeouts.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_timeouts.py
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from crowrudder_model.fleet import Route
 
-FIRST_SILENCE_S = 0.9
+FIRST_EVENT_TIMEOUT_S = 0.9
 """Least timeout for the first event. It is ten times a usual first event, so
 that load alone doesn't exceed it."""
 
-PAUSE_SILENCE_S = 0.9
+PAUSE_TIMEOUT_S = 0.9
 """Least timeout for a pause within a stream: over twice the pause that callers
 complain about, and under half of the pause after which they leave."""
 
-WHOLE_SILENCE_S = 0.45
+SHORT_ANSWER_TIMEOUT_S = 0.45
 """Least timeout for a short answer of a repeatable request."""
 
 TIMEOUT_FORECASTS = 4
@@ -72,12 +72,12 @@
     forecast_s = TIMEOUT_FORECASTS * first_s
     if route.kind is RouteKind.STREAM:
         return AttemptTimeouts(
-            first_s=max(FIRST_SILENCE_S, forecast_s),
-            pause_s=max(PAUSE_SILENCE_S, 2 * route.pause_goal_s),
+            first_s=max(FIRST_EVENT_TIMEOUT_S, forecast_s),
+            pause_s=max(PAUSE_TIMEOUT_S, 2 * route.pause_goal_s),
             begin_by=begin_by,
             late_pause_s=late_pause_s,
         )
-    timeout_s = max(WHOLE_SILENCE_S, forecast_s)
+    timeout_s = max(SHORT_ANSWER_TIMEOUT_S, forecast_s)
     return AttemptTimeouts(
         first_s=timeout_s, pause_s=timeout_s, begin_by=begin_by
     )
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstream_probe.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstream_probe.py
@@ -10,7 +10,7 @@
 from crowrudder_daemon.http import NotConnectedError
 
 if TYPE_CHECKING:
-    from crowrudder_core.forecast import Outlook
+    from crowrudder_core.forecast import UpstreamForecast
     from crowrudder_daemon.fleet_entry._quarantine import RequestQuarantine
     from crowrudder_daemon.http import ConnectionPool
     from crowrudder_daemon.process import Runtime
@@ -33,13 +33,15 @@
     _quarantine: RequestQuarantine
     _in_progress: set[str] = field(factory=set)
 
-    def start(self, outlook: Outlook) -> None:
+    def start(self, forecast: UpstreamForecast) -> None:
         """Start a probe, unless an agent reports or a probe is in progress."""
-        incarnation_id = outlook.upstream.id
-        if incarnation_id in self._in_progress or outlook.fresh_load(clock_s()):
+        incarnation_id = forecast.upstream.id
+        if incarnation_id in self._in_progress or forecast.fresh_load(
+            clock_s()
+        ):
             return
         self._in_progress.add(incarnation_id)
-        self._runtime.spawn(self._probe(outlook.upstream), step='probe')
+        self._runtime.spawn(self._probe(forecast.upstream), step='probe')
 
     async def _probe(self, upstream: Upstream) -> None:
         try:
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstreams.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstreams.py
@@ -11,13 +11,13 @@
 
 from crowrudder_core.forecast import (
     Candidate,
-    Holder,
-    Outlook,
-    choose_fitting,
-    path_from,
+    LayerHolder,
+    UpstreamForecast,
+    build_pipeline,
+    choose_eligible,
 )
-from crowrudder_core.forecast._choice import DRAWN
-from crowrudder_core.forecast._outlook import PART_WORD_S
+from crowrudder_core.forecast._choice import SAMPLE_SIZE
+from crowrudder_core.forecast._upstream_forecast import STAGE_REPORT_TTL_S
 from crowrudder_core.limits import SharedRetryBudget
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet_entry._limits import UpstreamLimits
@@ -33,7 +33,7 @@
 
 if TYPE_CHECKING:
     from crowrudder_core.catalog import FleetView
-    from crowrudder_core.forecast import Choice, Path
+    from crowrudder_core.forecast import Choice, Pipeline
     from crowrudder_daemon.fleet import PeersTask
     from crowrudder_daemon.fleet_entry._quarantine import RequestQuarantine
     from crowrudder_daemon.fleet_entry._version_end import PendingAttempt
@@ -77,8 +77,8 @@
 class _Pool:
     """The outlooks of a service, in the own region and in other regions."""
 
-    near: list[Outlook] = field(factory=list)
-    far: list[Outlook] = field(factory=list)
+    near: list[UpstreamForecast] = field(factory=list)
+    far: list[UpstreamForecast] = field(factory=list)
 
 
 class Upstreams:
@@ -98,8 +98,8 @@
         self._view = view
         self._peers = peers
         self._random = random.Random(runtime.incarnation)
-        self._outlooks: dict[str, Outlook] = {}
-        self._by_address: dict[str, list[Outlook]] = {}
+        self._outlooks: dict[str, UpstreamForecast] = {}
+        self._by_address: dict[str, list[UpstreamForecast]] = {}
         self._pools: dict[str, _Pool] = {}
         self._config: FleetConfig | None = None
         self._partial_received_at = -math.inf
@@ -128,14 +128,14 @@
         """Remove an attempt that has ended."""
         self._pending.pop(ticket, None)
 
-    def renew(self) -> None:
+    def refresh(self) -> None:
         """Update the outlooks after a change of the published records."""
         listed = {upstream.id: upstream for upstream in self._view.listed()}
         for gone in self._outlooks.keys() - listed.keys():
-            outlook = self._outlooks.pop(gone)
+            forecast = self._outlooks.pop(gone)
             self._quarantine.on_incarnation_ended(gone)
             self.limits.on_gone(gone)
-            self._drop_connections(outlook.upstream, listed.values())
+            self._drop_connections(forecast.upstream, listed.values())
         is_same = self._config is self._view.config
         self._config = self._view.config
         for upstream in listed.values():
@@ -145,22 +145,22 @@
         self._index()
         for attempt in self._pending.values():
             attempt.update_begin_by()
-        self.pool.sweep()
+        self.pool.close_expired()
 
     def on_load(self, load: EngineLoad, *, age_s: float = 0) -> None:
         """Apply an agent's load report on the engine at an address."""
         now = clock_s()
-        if load.part_version:
+        if load.partial_version:
             self._partial_received_at = now
-        for outlook in self._by_address.get(load.address, ()):
-            is_new_incarnation = outlook.on_load(load, now=now - age_s)
+        for forecast in self._by_address.get(load.address, ()):
+            is_new_incarnation = forecast.on_load(load, now=now - age_s)
             if is_new_incarnation:
                 self.pool.drop(load.address)
             if is_new_incarnation or not load.reachable:
-                self._quarantine.on_incarnation_ended(outlook.upstream.id)
+                self._quarantine.on_incarnation_ended(forecast.upstream.id)
             else:
                 self._quarantine.on_incarnation_alive(
-                    outlook.upstream.id, age_s=age_s
+                    forecast.upstream.id, age_s=age_s
                 )
 
     def on_loads(self, batch: LoadBatch) -> None:
@@ -172,7 +172,7 @@
         """Return the upstream chosen for a request; None if none can serve."""
         now = clock_s()
         others = len(self._peers.entries()) - 1
-        return choose_fitting(
+        return choose_eligible(
             self._pools_for(required, now),
             partial(self._fitting_candidate, required, now, others),
             prompt=required.prompt,
@@ -184,17 +184,17 @@
         """Record a request for a service in the retry budget."""
         self._budget.on_first(service, now=clock_s())
 
-    def take_retry(self, service: str) -> bool:
+    def spend_retry(self, service: str) -> bool:
         """Return whether a retry was taken from the budget of all entries."""
         now = clock_s()
         part = self._peers.roster.budget_share(now=now)
-        return self._budget.take(service, part=part, now=now)
+        return self._budget.take(service, entry_share=part, now=now)
 
     def has_retry(self, service: str) -> bool:
         """Return whether the shared budget has a retry left."""
         now = clock_s()
         part = self._peers.roster.budget_share(now=now)
-        return self._budget.has(service, part=part, now=now)
+        return self._budget.has(service, entry_share=part, now=now)
 
     def estimate_retry_after_s(self, service: str) -> float:
         """Return the estimated seconds until a service is available again.
@@ -205,20 +205,20 @@
         """
         now = clock_s()
         pool = self._pools.get(service, _Pool())
-        outlooks = [*pool.near, *pool.far]
-        is_loading = any(outlook.is_changing(now) for outlook in outlooks)
+        forecasts = [*pool.near, *pool.far]
+        is_loading = any(forecast.is_changing(now) for forecast in forecasts)
         outage_s = LOADING_RETRY_AFTER_S if is_loading else ABSENT_RETRY_AFTER_S
         limit_wait_s = self.limits.wait_s(
-            outlook.upstream.id for outlook in outlooks
+            forecast.upstream.id for forecast in forecasts
         )
         return max(min(outage_s, limit_wait_s), MIN_RETRY_AFTER_S)
 
     def _region_of(self, upstream_id: str) -> str:
-        outlook = self._outlooks.get(upstream_id)
+        forecast = self._outlooks.get(upstream_id)
         place = self._node.place
-        if outlook is None:
+        if forecast is None:
             return place.region
-        return place.region_of(outlook.upstream.failure_domain)
+        return place.region_of(forecast.upstream.failure_domain)
 
     def begin_by(self, choice: Choice | Candidate, model: str) -> float:
         """Return the time by which a request must begin at an upstream.
@@ -228,7 +228,7 @@
         enough instead leaves the hosts that load last idle: with 1.6 s,
         nearly all hosts of a fleet on slow links were idle at once.
         """
-        if choice.outlook.model is None:
+        if choice.forecast.model is None:
             return math.inf
         if choice.path is not None and self._view.releases.after(
             model, choice.weights
@@ -249,32 +249,32 @@
         now = clock_s()
         return [
             {
-                'id': outlook.upstream.id,
-                'service': outlook.upstream.service,
-                'address': outlook.upstream.address,
-                'weights': outlook.weights(now),
-                'own': outlook.own,
-                'others': outlook.others(now),
-                'avoided': outlook.is_avoided(now),
-                'slowness': round(outlook.slowness, 2),
+                'id': forecast.upstream.id,
+                'service': forecast.upstream.service,
+                'address': forecast.upstream.address,
+                'weights': forecast.weights(now),
+                'own': forecast.own,
+                'others': forecast.others(now),
+                'avoided': forecast.is_avoided(now),
+                'slowness': round(forecast.slowness, 2),
             }
-            for outlook in self._outlooks.values()
+            for forecast in self._outlooks.values()
         ]
 
     def _index(self) -> None:
         """Index the outlooks by address and by service."""
         self._by_address = {}
         self._pools = {}
-        for outlook in self._outlooks.values():
-            upstream = outlook.upstream
-            self._by_address.setdefault(upstream.address, []).append(outlook)
+        for forecast in self._outlooks.values():
+            upstream = forecast.upstream
+            self._by_address.setdefault(upstream.address, []).append(forecast)
             pool = self._pools.setdefault(upstream.service, _Pool())
-            is_far = self._candidate(outlook, 0).other_region
-            (pool.far if is_far else pool.near).append(outlook)
+            is_far = self._candidate(forecast, 0).other_region
+            (pool.far if is_far else pool.near).append(forecast)
 
     def _pools_for(
         self, required: UpstreamRequirements, now: float
-    ) -> list[tuple[list[Outlook | Candidate], int]]:
+    ) -> list[tuple[list[UpstreamForecast | Candidate], int]]:
         """Return the pools to sample from, most frequent reporters first.
 
         Their load reports are the most recent. With an older report, more
@@ -282,35 +282,39 @@
         """
         pool = self._pools.get(required.service, _Pool())
         pipelines = self._pipeline_candidates(required, now)
-        close: list[Outlook | Candidate] = []
-        others: list[Outlook | Candidate] = []
-        for outlook in pool.near:
-            load = outlook.fresh_load(now)
+        close: list[UpstreamForecast | Candidate] = []
+        others: list[UpstreamForecast | Candidate] = []
+        for forecast in pool.near:
+            load = forecast.fresh_load(now)
             is_close = load is not None and load.is_close
-            (close if is_close else others).append(outlook)
+            (close if is_close else others).append(forecast)
         close += [each for each in pipelines if not each.other_region]
-        far: list[Outlook | Candidate] = [
+        far: list[UpstreamForecast | Candidate] = [
             *pool.far,
             *(each for each in pipelines if each.other_region),
         ]
-        enough_local = DRAWN - 1
-        return [(close, enough_local), (others, enough_local), (far, DRAWN)]
+        enough_local = SAMPLE_SIZE - 1
+        return [
+            (close, enough_local),
+            (others, enough_local),
+            (far, SAMPLE_SIZE),
+        ]
 
     def _fitting_candidate(
         self,
         required: UpstreamRequirements,
         now: float,
         other_entries: int,
-        option: Outlook | Candidate,
+        option: UpstreamForecast | Candidate,
     ) -> Candidate | None:
         """Return the option as a candidate if the request can begin there."""
         if isinstance(option, Candidate):
-            has_room = self.limits.has_room(option.outlook.upstream.id)
-            return option if has_room else None
+            has_capacity = self.limits.has_capacity(option.forecast.upstream.id)
+            return option if has_capacity else None
         upstream_id = option.upstream.id
         if upstream_id in required.avoid:
             return None
-        if not self.limits.has_room(upstream_id):
+        if not self.limits.has_capacity(upstream_id):
             return None
         if not self._view.takes_requests(upstream_id, now=now):
             return None
@@ -320,7 +324,7 @@
 
     def _usable(
         self, required: UpstreamRequirements, now: float
-    ) -> list[Outlook]:
+    ) -> list[UpstreamForecast]:
         """Return the upstreams of the service that the request may use."""
         return [
             self._outlooks[upstream.id]
@@ -330,15 +334,18 @@
         ]
 
     def _candidate(
-        self, outlook: Outlook, weights: int, path: Path | None = None
+        self,
+        forecast: UpstreamForecast,
+        weights: int,
+        path: Pipeline | None = None,
     ) -> Candidate:
         place = self._node.place
-        domain = outlook.upstream.failure_domain
+        domain = forecast.upstream.failure_domain
         return Candidate(
-            outlook=outlook,
+            forecast=forecast,
             other_domain=domain != place.failure_domain,
             other_region=place.region_of(domain) != place.region,
-            weights=weights if outlook.model else 0,
+            weights=weights if forecast.model else 0,
             path=path,
         )
 
@@ -352,52 +359,52 @@
         """
         if (
             not required.may_use_pipeline
-            or now - self._partial_received_at > PART_WORD_S
+            or now - self._partial_received_at > STAGE_REPORT_TTL_S
         ):
             return []
         version, holders = self._holders(required, now)
         found = []
         for first in holders:
-            model = first.outlook.model
-            path = path_from(
+            model = first.forecast.model
+            path = build_pipeline(
                 first,
                 holders,
                 layers=model.figures.layers if model else 0,
                 random=self._random,
             )
             if path is not None:
-                found.append(self._candidate(first.outlook, version, path))
+                found.append(self._candidate(first.forecast, version, path))
         return found
 
     def _holders(
         self, required: UpstreamRequirements, now: float
-    ) -> tuple[int, list[Holder]]:
+    ) -> tuple[int, list[LayerHolder]]:
         """Return the newest announced version and its partial holders.
 
         Holders of older versions are left out: an engine may change to a newer
         version while a report on its part of an older one is still valid.
         """
         partial_holders = [
-            (outlook, part)
-            for outlook in self._usable(required, now)
-            if (part := outlook.part(now)) and not outlook.is_avoided(now)
+            (forecast, part)
+            for forecast in self._usable(required, now)
+            if (part := forecast.part(now)) and not forecast.is_avoided(now)
         ]
         models = {
-            outlook.model.figures.model
-            for outlook, _ in partial_holders
-            if outlook.model
+            forecast.model.figures.model
+            for forecast, _ in partial_holders
+            if forecast.model
         }
         newest = self._view.releases.newest(next(iter(models), required.model))
         held = max((version for _, (version, _) in partial_holders), default=0)
         version = newest.version if newest else held
         region_of = self._node.place.region_of
         return version, [
-            Holder(
-                outlook=outlook,
+            LayerHolder(
+                forecast=forecast,
                 layers=layers,
-                region=region_of(outlook.upstream.failure_domain),
+                region=region_of(forecast.upstream.failure_domain),
             )
-            for outlook, (each, layers) in partial_holders
+            for forecast, (each, layers) in partial_holders
             if each == version
         ]
 
@@ -405,35 +412,35 @@
         self, candidate: Candidate, required: UpstreamRequirements, now: float
     ) -> bool:
         """Return whether a request can begin there before the version ends."""
-        outlook = candidate.outlook
-        if outlook.model is None:
+        forecast = candidate.forecast
+        if forecast.model is None:
             return True
-        if not candidate.weights or outlook.is_changing(now):
+        if not candidate.weights or forecast.is_changing(now):
             return False
         left_s = self.begin_by(candidate, required.model) - now
         left_s -= overdue_s(
-            outlook.word_age_s(now), is_far=candidate.other_region
+            forecast.load_report_age_s(now), is_far=candidate.other_region
         )
         if left_s > NOT_RETRYABLE_MARGIN_S - CANCEL_MARGIN_S:
             return True
         if not required.is_retryable:
             return False
-        first_s = outlook.first_s(required.prompt, now)
+        first_s = forecast.first_s(required.prompt, now)
         return left_s > max(
             START_WINDOW_FORECASTS * first_s, MIN_START_WINDOW_S
         )
 
     def _refresh_one(self, upstream: Upstream) -> None:
-        outlook = self._outlooks.get(upstream.id)
-        if outlook is None:
-            outlook = Outlook(upstream)
-            self._outlooks[upstream.id] = outlook
-        if outlook.on_record(upstream, now=clock_s()):
+        forecast = self._outlooks.get(upstream.id)
+        if forecast is None:
+            forecast = UpstreamForecast(upstream)
+            self._outlooks[upstream.id] = forecast
+        if forecast.on_record(upstream, now=clock_s()):
             # Idle connections lead to the previous incarnation.
             self.pool.drop(upstream.address)
         config = self._view.config
         service = config.service(upstream.service) if config else None
-        outlook.on_figures(service.engine if service else None)
+        forecast.on_engine_figures(service.engine if service else None)
 
     def _drop_connections(self, gone: Upstream, listed: Any) -> None:
         """Close idle connections, unless the address has a new upstream."""
--- a/packages/daemon/src/crowrudder_daemon/http/_connection.py
+++ b/packages/daemon/src/crowrudder_daemon/http/_connection.py
@@ -272,7 +272,7 @@
     async def answer(
         self,
         *,
-        most_bytes: int,
+        max_bytes: int,
         on_bytes: Callable[[int], None] | None = None,
     ) -> WireAnswer:
         """Wait for a complete response.
@@ -280,7 +280,7 @@
         Raises
         ------
         BrokenAnswerError
-            When it is incomplete or longer than ``most_bytes``.
+            When it is incomplete or longer than ``max_bytes``.
         """
         head = await self.head()
         parts: list[bytes] = []
@@ -290,8 +290,8 @@
             size += len(part)
             if on_bytes is not None:
                 on_bytes(len(part))
-            if size > most_bytes:
-                raise self._answer_error(f'longer than {most_bytes} bytes')
+            if size > max_bytes:
+                raise self._answer_error(f'longer than {max_bytes} bytes')
         return WireAnswer(head=head, body=b''.join(parts))
 
     def skip(self) -> None:
--- a/packages/daemon/src/crowrudder_daemon/http/_pool.py
+++ b/packages/daemon/src/crowrudder_daemon/http/_pool.py
@@ -86,7 +86,7 @@
         request: WireRequest,
         *,
         timeout_s: float,
-        most_bytes: int = MAX_ANSWER_BYTES,
+        max_bytes: int = MAX_ANSWER_BYTES,
         on_bytes: Callable[[int], None] | None = None,
     ) -> WireAnswer:
         """Make one call and wait for its complete response; never retried.
@@ -104,7 +104,7 @@
                 conn = await self.take(address, timeout_s=timeout_s)
                 conn.send(request)
                 answer = await conn.answer(
-                    most_bytes=most_bytes, on_bytes=on_bytes
+                    max_bytes=max_bytes, on_bytes=on_bytes
                 )
         except TimeoutError as exc:
             _drop(conn)
@@ -124,7 +124,7 @@
         for conn in self._idle.pop(address, ()):
             conn.close()
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that were idle too long or closed by the peer."""
         now = clock_s()
         for address, conns in list(self._idle.items()):
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_parts.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_parts.py
@@ -14,26 +14,26 @@
     inflate,
 )
 from crowrudder_model.declared import (
-    MOST_BUNDLE_BYTES,
+    MAX_BUNDLE_BYTES,
     BundleDelta,
     BundleError,
     apply_delta,
     delta_between,
 )
 from crowrudder_model.messages import (
-    BundlePart,
-    ListEdition,
-    MembersDelta,
-    MembersPart,
+    BundleUpdate,
+    MemberListDelta,
+    MemberListEdition,
+    MemberListUpdate,
 )
 
 if TYPE_CHECKING:
-    from crowrudder_core.config import ConfigBook
+    from crowrudder_core.config import ActiveConfig
     from crowrudder_core.membership import MemberList
     from crowrudder_model import Member
     from crowrudder_model.declared import Bundle
 
-MAX_INFLATED_BYTES = 16 * MOST_BUNDLE_BYTES
+MAX_INFLATED_BYTES = 16 * MAX_BUNDLE_BYTES
 
 
 class PartError(CrowrudderError):
@@ -41,10 +41,10 @@
 
 
 def bundle_part(
-    book: ConfigBook,
+    active_config: ActiveConfig,
     *,
     known: Bundle | None,
-) -> BundlePart | None:
+) -> BundleUpdate | None:
     """Return the bundle in force, as a delta from the peer's if possible.
 
     Parameters
@@ -53,20 +53,20 @@
         the bundle that the peer has, if known here; None for a complete
         bundle.
     """
-    if book.bundle is None:
+    if active_config.bundle is None:
         return None
-    body = book.payload
+    body = active_config.payload
     if known is not None:
-        body = encode_message(delta_between(known, book.bundle))
-    return BundlePart(
-        digest=book.bundle.digest,
-        revision=book.revision,
+        body = encode_message(delta_between(known, active_config.bundle))
+    return BundleUpdate(
+        digest=active_config.bundle.digest,
+        revision=active_config.revision,
         base='' if known is None else known.digest,
         body=zlib.compress(body),
     )
 
 
-def offer_of(part: BundlePart, base: Bundle | None, teller: str) -> Offer:
+def offer_of(part: BundleUpdate, base: Bundle | None, teller: str) -> Offer:
     """Return the offer in a part.
 
     Raises
@@ -86,10 +86,12 @@
     return Offer(payload=payload, revision=part.revision, teller=teller)
 
 
-def members_part(listed: MemberList, edition: ListEdition) -> MembersPart:
+def members_part(
+    listed: MemberList, edition: MemberListEdition
+) -> MemberListUpdate:
     """Return the member list, as a delta from the peer's edition if possible."""
     delta = listed.delta_from(edition.digest)
-    return MembersPart(
+    return MemberListUpdate(
         edition=listed.edition,
         base='' if delta is None else edition.digest,
         body=zlib.compress(encode_message(delta or listed.whole())),
@@ -97,7 +99,7 @@
 
 
 def members_of(
-    part: MembersPart,
+    part: MemberListUpdate,
     listed: MemberList,
     teller: str,
 ) -> tuple[Member, ...]:
@@ -110,7 +112,7 @@
     """
     delta = decode_message(
         _inflated(part.body, teller),
-        MembersDelta,
+        MemberListDelta,
         peer=teller,
     )
     return listed.applied(delta, base=part.base, edition=part.edition)
@@ -118,6 +120,6 @@
 
 def _inflated(body: bytes, peer: str) -> bytes:
     try:
-        return inflate(body, most_bytes=MAX_INFLATED_BYTES, peer=peer)
+        return inflate(body, max_bytes=MAX_INFLATED_BYTES, peer=peer)
     except MalformedMessageError as exc:
         raise PartError(exc.message, step=exc.step, peer=peer) from exc
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_peers.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_peers.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from crowrudder_model import Member
-    from crowrudder_model.messages import Hello, Knowledge, TakeAsk
+    from crowrudder_model.messages import Hello, Knowledge, SnapshotRequest
     from crowrudder_model.rpc import Method
 
 _Ask = TypeVar('_Ask')
@@ -38,7 +38,7 @@
 
 
 @frozen
-class PeerSilent:
+class PeerUnreachable:
     """A peer didn't answer, or a stream from it broke."""
 
     host: str
@@ -71,11 +71,11 @@
         """Send a peer what it is missing; return its state afterwards."""
         return await self._call(member, GIVE, knowledge, PART_TIMEOUT_S)
 
-    async def take(self, member: Member, request: TakeAsk) -> Knowledge:
+    async def take(self, member: Member, request: SnapshotRequest) -> Knowledge:
         """Request newer data from a peer."""
         return await self._call(member, TAKE, request, PART_TIMEOUT_S)
 
-    async def keep_only(self, addresses: set[str]) -> None:
+    async def close_others(self, addresses: set[str]) -> None:
         """Close the channels to other addresses that have no running calls.
 
         Closing a channel cancels its calls, which would end the background
@@ -83,7 +83,7 @@
         peers.
         """
         busy = {peer for peer, calls in self._in_flight.items() if calls}
-        await self._client.keep_only(addresses | busy)
+        await self._client.close_others(addresses | busy)
 
     async def close(self) -> None:
         """Close all channels."""
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_state.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_state.py
@@ -10,16 +10,16 @@
 
 from crowrudder_core.config import (
     Accepted,
-    ConfigBook,
+    ActiveConfig,
     ConfigOrder,
     Lost,
     Offer,
-    PlatformReading,
+    PlatformReadPolicy,
     Refused,
 )
 from crowrudder_core.membership import (
     MembershipView,
-    OwnWord,
+    OwnStatus,
     neighbours_of,
 )
 from crowrudder_daemon.knowledge._member_changes import compare_members
@@ -31,7 +31,7 @@
 )
 from crowrudder_daemon.knowledge._snapshot import Snapshot
 from crowrudder_model import CrowrudderError, InvariantError
-from crowrudder_model.messages import Hello, Knowledge, TakeAsk
+from crowrudder_model.messages import Hello, Knowledge, SnapshotRequest
 
 if TYPE_CHECKING:
     import random
@@ -63,16 +63,16 @@
         process = runtime.cfg.process
         self.host = process.host
         self.snapshot = Snapshot()
-        self.book = ConfigBook()
+        self.active_config = ActiveConfig()
         self.view = MembershipView(
-            OwnWord(
+            OwnStatus(
                 host=process.host,
                 incarnation=runtime.incarnation,
                 address=f'{process.address}:{process.rpc_port}',
                 beat=int(time.time() * MS),
             )
         )
-        self.reading = PlatformReading(
+        self.reading = PlatformReadPolicy(
             process.host,
             process.failure_domain,
             started_at=time.monotonic(),
@@ -106,14 +106,14 @@
         return any(
             [
                 self._record_verdict(verdict, 'start')
-                for verdict in self.book.open(now=time.time())
+                for verdict in self.active_config.open(now=time.time())
             ]
         )
 
     def apply_offer(self, offer: Offer) -> bool:
         """Offer a bundle to the aggregate and record the verdict."""
         with self._counted('config_order'):
-            verdict = self.book.offer(offer, now=time.time())
+            verdict = self.active_config.offer(offer, now=time.time())
         return self._record_verdict(verdict, offer.teller)
 
     def apply_members(self, members: tuple[Member, ...], revision: int) -> bool:
@@ -127,7 +127,7 @@
 
     def apply_unchanged_members(self) -> bool:
         """Apply the platform's answer that its list is unchanged."""
-        is_new = self.view.published.on_same(time.monotonic())
+        is_new = self.view.published.on_unchanged(time.monotonic())
         if is_new:
             self.publish_members('platform')
         return is_new
@@ -135,18 +135,18 @@
     def apply_hello(self, hello: Hello) -> bool:
         """Apply a peer's status message and its updates on others."""
         host = hello.sender.host
-        self.reading.on_heard(hello.read_age_s, time.monotonic())
+        self.reading.on_peer_report(hello.read_age_s, time.monotonic())
         self.view.on_call_answered(host)
         results = [
-            self.view.on_news(news) for news in (hello.sender, *hello.news)
+            self.view.on_update(news) for news in (hello.sender, *hello.news)
         ]
-        if any(each.is_new for each in results):
+        if any(each.has_changed for each in results):
             self.publish_members(host)
-        return any(each.urgent for each in results)
+        return any(each.is_urgent for each in results)
 
     def apply_call_failure(self, host: str) -> None:
         """Apply a failed call to a peer."""
-        if self.view.on_call_failed(host).is_new:
+        if self.view.on_call_failed(host).has_changed:
             self.publish_members(self.host)
 
     def apply_knowledge(self, knowledge: Knowledge) -> bool:
@@ -164,7 +164,7 @@
     def missing_for(
         self,
         order: ConfigOrder,
-        peer: Hello | TakeAsk,
+        peer: Hello | SnapshotRequest,
         *,
         complete: bool = False,
     ) -> Knowledge | None:
@@ -176,9 +176,11 @@
             Send a complete bundle, no delta from the one that the peer reports.
         """
         bundle, members = None, None
-        if order < self.book.order:
-            known = None if complete else self.book.recent(order.digest)
-            bundle = bundle_part(self.book, known=known)
+        if order < self.active_config.order:
+            known = (
+                None if complete else self.active_config.recent(order.digest)
+            )
+            bundle = bundle_part(self.active_config, known=known)
         published = self.view.published
         if peer.edition < published.edition:
             members = members_part(published, peer.edition)
@@ -190,39 +192,43 @@
         """Return whether a peer has newer data."""
         order = ConfigOrder(hello.generation, hello.digest)
         edition = self.view.published.edition
-        return self.book.order < order or edition < hello.edition
+        return self.active_config.order < order or edition < hello.edition
 
     def hello(self, peer: str) -> Hello:
         """Return the hello message to a peer."""
         return Hello(
             sender=self.view.own.news,
-            generation=self.book.order.generation,
-            digest=self.book.order.digest,
+            generation=self.active_config.order.generation,
+            digest=self.active_config.order.digest,
             edition=self.view.published.edition,
             read_age_s=self.reading.age_s(time.monotonic()),
-            news=self.view.to_tell(peer),
+            news=self.view.updates_for(peer),
         )
 
-    def snapshot_request(self) -> TakeAsk:
+    def snapshot_request(self) -> SnapshotRequest:
         """Return the request for all data newer than this process's."""
-        return TakeAsk(
+        return SnapshotRequest(
             host=self.host,
-            generation=self.book.order.generation,
-            digest=self.book.order.digest,
+            generation=self.active_config.order.generation,
+            digest=self.active_config.order.digest,
             edition=self.view.published.edition,
         )
 
     def status(self) -> dict[str, Any]:
         """Return what is in force here, since when, and what was refused."""
-        book, now = self.book, time.monotonic()
+        active_config, now = self.active_config, time.monotonic()
         edition = self.view.published.edition
         return {
-            'generation': book.order.generation,
-            'digest': book.order.digest,
-            'in_force_since': book.in_force_since,
-            'revision': book.revision,
-            'refused': attrs.asdict(book.refused) if book.refused else None,
-            'lost': attrs.asdict(book.lost) if book.lost else None,
+            'generation': active_config.order.generation,
+            'digest': active_config.order.digest,
+            'in_force_since': active_config.in_force_since,
+            'revision': active_config.revision,
+            'refused': attrs.asdict(active_config.refused)
+            if active_config.refused
+            else None,
+            'lost': attrs.asdict(active_config.lost)
+            if active_config.lost
+            else None,
             'reads_platform': self.reading.mode(now).value,
             'platform_read_age_s': round(self.reading.age_s(now), 3),
             'members_revision': edition.revision,
@@ -249,7 +255,7 @@
     def publish(self) -> bool:
         """Pass a new snapshot to the other tasks; return whether it changed."""
         snapshot = Snapshot(
-            self.book.bundle,
+            self.active_config.bundle,
             self.view.members(),
             self.view.suspects(),
         )
@@ -282,7 +288,7 @@
             self.publish_members(teller)
         if bundle is None:
             return is_new
-        base = self.book.recent(bundle.base)
+        base = self.active_config.recent(bundle.base)
         return self.apply_offer(offer_of(bundle, base, teller)) or is_new
 
     def _record_verdict(self, verdict: Verdict, teller: str) -> bool:
@@ -300,8 +306,8 @@
         return False
 
     def _audit_lost(self, teller: str) -> None:
-        lost = self.book.lost
-        if lost is not None and lost.winner == self.book.order.digest:
+        lost = self.active_config.lost
+        if lost is not None and lost.winner == self.active_config.order.digest:
             self._audit(
                 teller,
                 f'bundle of generation {lost.generation} lost to another',
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_task.py
@@ -16,7 +16,7 @@
     KnowledgeReceived,
     PeerAnswered,
     PeerCalls,
-    PeerSilent,
+    PeerUnreachable,
     order_of_hello,
 )
 from crowrudder_daemon.knowledge._platform import (
@@ -36,18 +36,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from crowrudder_core.config import ConfigBook
+    from crowrudder_core.config import ActiveConfig
     from crowrudder_daemon.process import Runtime
     from crowrudder_daemon.rpc import PeerServer
     from crowrudder_model import Member
-    from crowrudder_model.messages import TakeAsk
+    from crowrudder_model.messages import SnapshotRequest
 
 SUSPENSION_THRESHOLD_S = 5.0
 """A pause of the event loop from which the process counts as suspended."""
 
 
 @frozen(kw_only=True)
-class Pace:
+class ExchangeIntervals:
     """Intervals of periodic work, in seconds.
 
     ``exchange_s`` is the mean time between two exchanges with a neighbour
@@ -61,7 +61,7 @@
     tick_s: float = 0.5
 
 
-DEFAULT_PACE = Pace()
+DEFAULT_PACE = ExchangeIntervals()
 
 
 class KnowledgeTask(Task):
@@ -74,7 +74,7 @@
         *,
         calls: PeerCalls | None = None,
         platform: PlatformClient | None = None,
-        pace: Pace = DEFAULT_PACE,
+        pace: ExchangeIntervals = DEFAULT_PACE,
     ) -> None:
         super().__init__(runtime.log)
         self.hinders = ''
@@ -89,9 +89,9 @@
         self._random = random.Random(runtime.incarnation)
 
     @property
-    def book(self) -> ConfigBook:
+    def active_config(self) -> ActiveConfig:
         """The bundle in force."""
-        return self._state.book
+        return self._state.active_config
 
     def serve(self, server: PeerServer) -> None:
         """Register the handlers for calls of peers."""
@@ -167,7 +167,7 @@
         """Record a successful call that another task made."""
         self._state.view.on_call_answered(message.host)
 
-    def on_peer_silent(self, message: PeerSilent) -> None:
+    def on_peer_unreachable(self, message: PeerUnreachable) -> None:
         """Record a failed call."""
         self._log.debug('no exchange: %s', message.reason)
         self._state.apply_call_failure(message.host)
@@ -248,9 +248,9 @@
             await asyncio.sleep(self._pace.tick_s)
             now = time.monotonic()
             paused_s, last = now - last, now
-            if paused_s > SUSPENSION_THRESHOLD_S and self.book.is_open:
+            if paused_s > SUSPENSION_THRESHOLD_S and self.active_config.is_open:
                 self._log.warning('event loop paused for %.1f s', paused_s)
-                self.hinders = 'was paused and asks peers what is in force'
+                self.hinders = 'stood still and asks peers what is in force'
                 await self._exchange_with_neighbours()
                 self.hinders = ''
 
@@ -262,7 +262,7 @@
             if member is not None:
                 await self._exchange(member)
             neighbours = self._state.neighbours
-            await self._calls.keep_only(
+            await self._calls.close_others(
                 {neighbour.rpc_address for neighbour in neighbours}
             )
 
@@ -286,7 +286,7 @@
             await self._handle(HelloReceived(hello))
             await self._synchronize(member, hello)
         except PeerLostError as exc:
-            await self._handle(PeerSilent(member.host, str(exc)))
+            await self._handle(PeerUnreachable(member.host, str(exc)))
 
     async def _synchronize(self, member: Member, hello: Hello) -> None:
         """Send the peer what it is missing, and request what is missing here."""
@@ -313,7 +313,9 @@
         await self._handle(KnowledgeReceived(knowledge))
         return self._state.hello(knowledge.host)
 
-    async def _on_take(self, request: TakeAsk, _context: object) -> Knowledge:
+    async def _on_take(
+        self, request: SnapshotRequest, _context: object
+    ) -> Knowledge:
         order = ConfigOrder(request.generation, request.digest)
         found = self._state.missing_for(order, request)
         return found or Knowledge(host=self._state.host)
--- a/packages/daemon/src/crowrudder_daemon/rpc/_client.py
+++ b/packages/daemon/src/crowrudder_daemon/rpc/_client.py
@@ -151,7 +151,7 @@
         if channel is not None:
             await channel.close(None)
 
-    async def keep_only(self, peers: set[str]) -> None:
+    async def close_others(self, peers: set[str]) -> None:
         """Close the channels to all other peers; their calls are cancelled."""
         for peer in self._channels.keys() - peers:
             await self.forget(peer)
--- a/packages/model/src/crowrudder_model/_inflate.py
+++ b/packages/model/src/crowrudder_model/_inflate.py
@@ -7,12 +7,12 @@
 from crowrudder_model._errors import MalformedMessageError
 
 
-def inflate(body: bytes, *, most_bytes: int, peer: str) -> bytes:
+def inflate(body: bytes, *, max_bytes: int, peer: str) -> bytes:
     """Decompress a zlib stream of bounded size.
 
     Parameters
     ----------
-    most_bytes
+    max_bytes
         Maximum size of the result. Without a bound, a few KB from a peer
         could expand to more memory than the process may use.
 
@@ -24,12 +24,12 @@
     """
     inflator = zlib.decompressobj()
     try:
-        payload = inflator.decompress(body, most_bytes)
+        payload = inflator.decompress(body, max_bytes)
     except zlib.error as exc:
         raise _inflate_error(str(exc), peer) from exc
     if not inflator.eof:
         raise _inflate_error(
-            f'truncated, or larger than {most_bytes} bytes', peer
+            f'truncated, or larger than {max_bytes} bytes', peer
         )
     if inflator.unused_data:
         raise _inflate_error('followed by trailing data', peer)
--- a/packages/model/src/crowrudder_model/declared/__init__.py
+++ b/packages/model/src/crowrudder_model/declared/__init__.py
@@ -1,7 +1,7 @@
 """The declared configuration: its parts, bundle, checks and placement."""
 
 from crowrudder_model.declared._bundle import (
-    MOST_BUNDLE_BYTES,
+    MAX_BUNDLE_BYTES,
     Bundle,
     BundleError,
     bundle_of,
@@ -17,7 +17,7 @@
     delta_between,
 )
 from crowrudder_model.declared._difference import Change, difference
-from crowrudder_model.declared._files import Reading, read_files
+from crowrudder_model.declared._files import ParsedDeclaration, read_files
 from crowrudder_model.declared._parts import (
     Adapter,
     Customer,
@@ -32,7 +32,7 @@
 from crowrudder_model.declared.placement import eligible, place
 
 __all__ = (
-    'MOST_BUNDLE_BYTES',
+    'MAX_BUNDLE_BYTES',
     'Adapter',
     'Bundle',
     'BundleDelta',
@@ -43,7 +43,7 @@
     'Fault',
     'Model',
     'Part',
-    'Reading',
+    'ParsedDeclaration',
     'Service',
     'Version',
     'apply_delta',
--- a/packages/model/src/crowrudder_model/declared/_bundle.py
+++ b/packages/model/src/crowrudder_model/declared/_bundle.py
@@ -11,7 +11,7 @@
 from crowrudder_model.declared._declaration import Declaration
 from crowrudder_model.declared._sections import canonical_order
 
-MOST_BUNDLE_BYTES = 1_000_000
+MAX_BUNDLE_BYTES = 1_000_000
 MAX_REPORTED_FAULTS = 5
 
 
@@ -87,10 +87,10 @@
 
 
 def _refuse_oversize(encoded: bytes) -> None:
-    if len(encoded) > MOST_BUNDLE_BYTES:
+    if len(encoded) > MAX_BUNDLE_BYTES:
         raise BundleError(
             f'too large: {len(encoded)} bytes, '
-            f'allowed: {MOST_BUNDLE_BYTES} at most',
+            f'allowed: {MAX_BUNDLE_BYTES} at most',
         )
 
 
--- a/packages/model/src/crowrudder_model/declared/_declaration.py
+++ b/packages/model/src/crowrudder_model/declared/_declaration.py
@@ -15,7 +15,7 @@
     Service,
     Version,
 )
-from crowrudder_model.declared._rules import Digest, Whole, rule
+from crowrudder_model.declared._rules import Digest, WholeNumber, rule
 
 MAX_GENERATION = (1 << 53) - 1
 
@@ -34,7 +34,7 @@
 
     generation: int = field(
         metadata=rule(
-            Whole(1, MAX_GENERATION),
+            WholeNumber(1, MAX_GENERATION),
             'counts up; the higher one is in force',
         ),
     )
--- a/packages/model/src/crowrudder_model/declared/_files.py
+++ b/packages/model/src/crowrudder_model/declared/_files.py
@@ -18,7 +18,7 @@
     Digest,
     Name,
     Names,
-    Whole,
+    WholeNumber,
 )
 from crowrudder_model.declared._sections import (
     FLEET,
@@ -40,7 +40,7 @@
 
 
 @frozen
-class Reading:
+class ParsedDeclaration:
     """What a directory declares; complete only if `faults` is empty."""
 
     declaration: Declaration
@@ -130,7 +130,7 @@
     ) -> None:
         self.faults.append(Fault(section, key, found, allowed, file=file))
 
-    def finish(self) -> Reading:
+    def finish(self) -> ParsedDeclaration:
         if FLEET not in self.file_of and not self.faults:
             self._fault('', FLEET, '', '', 'a section [fleet] in one file')
         parts = {f'{kind}s': tuple(self.parts.get(kind, ())) for kind in KINDS}
@@ -140,7 +140,7 @@
         )
         self.faults.extend(self._declaration_faults(declaration))
         self.faults.sort(key=lambda item: (item.file, item.section, item.key))
-        return Reading(declaration, tuple(self.faults))
+        return ParsedDeclaration(declaration, tuple(self.faults))
 
     def _declaration_faults(self, declaration: Declaration) -> Iterator[Fault]:
         # References to sections of an unreadable file would be reported as
@@ -156,7 +156,7 @@
                 yield evolve(fault, file=file)
 
 
-def read_files(texts: Mapping[str, str]) -> Reading:
+def read_files(texts: Mapping[str, str]) -> ParsedDeclaration:
     r"""Parse the texts of a directory's `.ini` files, given by file name.
 
     >>> read_files({'a.ini': '[fleet]\ngeneration = 0'}).faults[0].key
@@ -176,7 +176,7 @@
         case Names():
             names = re.split(r'[,\n]', text)
             return tuple(name.strip() for name in names if name.strip())
-        case Whole():
+        case WholeNumber():
             if INTEGER.fullmatch(text) is None:
                 raise ValueError(text)
             return int(text)
--- a/packages/model/src/crowrudder_model/declared/_parts.py
+++ b/packages/model/src/crowrudder_model/declared/_parts.py
@@ -10,7 +10,7 @@
     Digest,
     Name,
     Names,
-    Whole,
+    WholeNumber,
     rule,
 )
 
@@ -45,9 +45,11 @@
         metadata=rule(Digest(), "SHA-256 of the manifest's bytes"),
     )
     size: int = field(
-        metadata=rule(Whole(1, MAX_VERSION_BYTES), 'bytes in all')
+        metadata=rule(WholeNumber(1, MAX_VERSION_BYTES), 'bytes in all')
+    )
+    chunks: int = field(
+        metadata=rule(WholeNumber(1, MAX_CHUNKS), 'chunks in all')
     )
-    chunks: int = field(metadata=rule(Whole(1, MAX_CHUNKS), 'chunks in all'))
 
 
 @frozen
@@ -116,7 +118,7 @@
     replicas: int = field(
         default=0,
         metadata=rule(
-            Whole(0, MAX_REPLICAS),
+            WholeNumber(0, MAX_REPLICAS),
             'hosts that run it; 0: every eligible host',
             only_for='engine',
         ),
@@ -132,7 +134,7 @@
     origin_copies: int = field(
         default=1,
         metadata=rule(
-            Whole(1, 4),
+            WholeNumber(1, 4),
             'copies taken from the origin: more bytes, less time',
             only_for='engine',
         ),
@@ -147,7 +149,9 @@
     )
     slots_per_replica: int = field(
         default=8,
-        metadata=rule(Whole(1, 4096), 'requests that a replica runs at once'),
+        metadata=rule(
+            WholeNumber(1, 4096), 'requests that a replica runs at once'
+        ),
     )
     request_s: float = field(
         default=0.05,
@@ -188,12 +192,14 @@
     )
     burst: int = field(
         default=20,
-        metadata=rule(Whole(1, 1_000_000), 'requests at once above the rate'),
+        metadata=rule(
+            WholeNumber(1, 1_000_000), 'requests at once above the rate'
+        ),
     )
     priority_floor: int = field(
         default=0,
         metadata=rule(
-            Whole(0, 9),
+            WholeNumber(0, 9),
             'best priority that the customer may ask for (0 is first)',
         ),
     )
--- a/packages/model/src/crowrudder_model/declared/_publishing.py
+++ b/packages/model/src/crowrudder_model/declared/_publishing.py
@@ -9,7 +9,7 @@
 
 from crowrudder_model._member import Member
 from crowrudder_model.declared._bundle import (
-    MOST_BUNDLE_BYTES,
+    MAX_BUNDLE_BYTES,
     Bundle,
     bundle_of,
 )
@@ -51,8 +51,8 @@
 
 def _size_faults(declaration: Declaration) -> Iterator[Fault]:
     size = len(msgspec.json.encode(bundle_of(declaration)))
-    if size > MOST_BUNDLE_BYTES:
-        allowed = f'a bundle of {MOST_BUNDLE_BYTES} bytes at most'
+    if size > MAX_BUNDLE_BYTES:
+        allowed = f'a bundle of {MAX_BUNDLE_BYTES} bytes at most'
         yield Fault(FLEET, '', f'{size} bytes', allowed)
 
 
--- a/packages/model/src/crowrudder_model/declared/_rules.py
+++ b/packages/model/src/crowrudder_model/declared/_rules.py
@@ -52,7 +52,7 @@
 
 
 @frozen
-class Whole:
+class WholeNumber:
     """An integer within inclusive bounds."""
 
     low: int
@@ -77,7 +77,7 @@
         return f'a number from {self.low:g} to {self.high:g}'
 
 
-Kind = Name | Names | Digest | Choice | Whole | Decimal
+Kind = Name | Names | Digest | Choice | WholeNumber | Decimal
 
 
 @frozen
@@ -101,7 +101,7 @@
                 )
             case Choice(options):
                 return found in options
-            case Whole(low, high) | Decimal(low, high):
+            case WholeNumber(low, high) | Decimal(low, high):
                 return bool(low <= found <= high)
 
 
--- a/packages/model/src/crowrudder_model/fleet/__init__.py
+++ b/packages/model/src/crowrudder_model/fleet/__init__.py
@@ -14,11 +14,11 @@
     RouteTarget,
 )
 from crowrudder_model.fleet._engine import EngineFigures
-from crowrudder_model.fleet._layers import NO_LAYERS, LayerRange, PathPart
-from crowrudder_model.fleet._node import Bounds, Node, NodePlace
+from crowrudder_model.fleet._layers import NO_LAYERS, LayerRange, PipelineStage
+from crowrudder_model.fleet._node import Bounds, Node, NodeLocation
 from crowrudder_model.fleet._records import (
-    NamedVersion,
-    Published,
+    PublishedRecord,
+    TargetVersion,
     Upstream,
     UpstreamState,
 )
@@ -32,11 +32,11 @@
     'FleetConfig',
     'FleetService',
     'LayerRange',
-    'NamedVersion',
+    'TargetVersion',
     'Node',
-    'NodePlace',
-    'PathPart',
-    'Published',
+    'NodeLocation',
+    'PipelineStage',
+    'PublishedRecord',
     'Route',
     'RouteKind',
     'RouteTarget',
--- a/packages/model/src/crowrudder_model/fleet/_layers.py
+++ b/packages/model/src/crowrudder_model/fleet/_layers.py
@@ -33,7 +33,7 @@
         """Return whether this range has all layers of another."""
         return self.first <= other.first and other.end <= self.end
 
-    def is_whole(self, layers: int) -> bool:
+    def is_complete(self, layers: int) -> bool:
         """Return whether the range has all layers of a model.
 
         ``layers`` is the number of layers of the model; 0 if it is unknown.
@@ -48,7 +48,7 @@
 
 
 @frozen
-class PathPart:
+class PipelineStage:
     """A stage of a request's pipeline: an upstream and the layers it runs."""
 
     address: str
--- a/packages/model/src/crowrudder_model/fleet/_node.py
+++ b/packages/model/src/crowrudder_model/fleet/_node.py
@@ -6,7 +6,7 @@
 
 
 @frozen(kw_only=True)
-class NodePlace:
+class NodeLocation:
     """Location of a host, and the region of each failure domain by name."""
 
     failure_domain: str = ''
@@ -84,7 +84,7 @@
     host: str
     role: str
     ip: str
-    place: NodePlace = NodePlace()
+    place: NodeLocation = NodeLocation()
     callers: str = ''
     ready: str = ''
     directory: str = ''
--- a/packages/model/src/crowrudder_model/fleet/_records.py
+++ b/packages/model/src/crowrudder_model/fleet/_records.py
@@ -48,11 +48,11 @@
 
 
 @frozen(kw_only=True)
-class NamedVersion:
+class TargetVersion:
     """The version of the weights with which a model is to be served."""
 
     model: str
     version: int
 
 
-Published = FleetConfig | Upstream | NamedVersion
+PublishedRecord = FleetConfig | Upstream | TargetVersion
--- a/packages/model/src/crowrudder_model/messages/_claim.py
+++ b/packages/model/src/crowrudder_model/messages/_claim.py
@@ -22,7 +22,7 @@
 
 
 @frozen(kw_only=True)
-class ClaimAsk:
+class ClaimRequest:
     """Claim a request id for an owner, for ``keep_s`` seconds from receipt.
 
     ``serial`` increases with each request for which the owner claims an id.
@@ -42,7 +42,7 @@
 
 
 @frozen(kw_only=True)
-class ReleaseAsk:
+class ReleaseRequest:
     """Release an id whose request provably did not run."""
 
     request_id: str
@@ -68,7 +68,7 @@
 
 
 @frozen(kw_only=True)
-class Taken:
+class AcceptedCount:
     """How many records were accepted."""
 
     count: int
--- a/packages/model/src/crowrudder_model/messages/_gossip.py
+++ b/packages/model/src/crowrudder_model/messages/_gossip.py
@@ -13,13 +13,13 @@
 import msgspec
 from attrs import frozen
 
-from crowrudder_model.messages._limits import LimitNews
-from crowrudder_model.messages._suspects import SuspectNews
+from crowrudder_model.messages._limits import LimitUpdate
+from crowrudder_model.messages._suspects import SuspicionUpdate
 
 MemberRole = Literal['entry', 'agent']
 
 
-class MemberWord(msgspec.Struct, frozen=True, array_like=True):
+class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
     """The status that a process sends of itself.
 
     ``started_at`` is its start in seconds since 1970; it distinguishes the
@@ -39,18 +39,18 @@
     leaving: bool = False
 
 
-class HeardWord(msgspec.Struct, frozen=True, array_like=True):
+class ForwardedStatus(msgspec.Struct, frozen=True, array_like=True):
     """Another process's forwarded status, and its age in seconds."""
 
-    word: MemberWord
+    word: MemberStatus
     age_s: float
 
 
-class Sighting(msgspec.Struct, frozen=True, array_like=True):
+class LastSeen(msgspec.Struct, frozen=True, array_like=True):
     """When an entry was last seen, without its complete status.
 
     Takes a fifth of the bytes of a status. ``life`` identifies the
-    incarnation of the process, see `life_of`; ``age_ms`` is the age of its
+    incarnation of the process, see `incarnation_hash`; ``age_ms`` is the age of its
     last status in milliseconds.
     """
 
@@ -61,7 +61,7 @@
     leaving: bool = False
 
 
-def life_of(word: MemberWord) -> int:
+def incarnation_hash(word: MemberStatus) -> int:
     """Return a 32-bit hash of a process's incarnation."""
     return zlib.crc32(word.incarnation.encode())
 
@@ -80,8 +80,8 @@
     more requests because it is about to load a version. ``pace`` is the
     slowdown factor: over 1 the engine is slow. ``started_ms`` distinguishes
     incarnations of the engine, as in `Upstream`. An engine that holds only
-    some layers has ``weights`` 0; its layer range is that of ``part_version``
-    from ``part_first`` up to but not including ``part_end``. ``is_close`` is
+    some layers has ``weights`` 0; its layer range is that of ``partial_version``
+    from ``first_layer`` up to but not including ``end_layer``. ``is_close`` is
     set for the few entries to which the agent sends load reports most often.
     """
 
@@ -94,9 +94,9 @@
     memory_used: int = 0
     pace: float = 1
     started_ms: int = 0
-    part_version: int = 0
-    part_first: int = 0
-    part_end: int = 0
+    partial_version: int = 0
+    first_layer: int = 0
+    end_layer: int = 0
     is_close: bool = False
 
 
@@ -118,7 +118,7 @@
     pass_on: bool = False
 
 
-class ChunkNews(
+class ChunkInventory(
     msgspec.Struct,
     frozen=True,
     array_like=True,
@@ -154,20 +154,25 @@
     that the sender knows of. ``asks_for_reply`` requests the receiver's
     status. ``is_alone`` is set by a sender that knows no other process: the
     reply has ``others``, the status of some entries known to the replier.
-    ``sightings`` are last-seen entries.
+    ``last_seen_entries`` are last-seen entries.
     """
 
-    word: MemberWord
+    word: MemberStatus
     revision: int = 0
     confirmed_s: float = 1.0e9
     asks_for_reply: bool = False
     is_alone: bool = False
-    others: tuple[HeardWord, ...] = ()
-    sightings: tuple[Sighting, ...] = ()
+    others: tuple[ForwardedStatus, ...] = ()
+    last_seen_entries: tuple[LastSeen, ...] = ()
 
 
 Datagram = (
-    Heartbeat | EngineLoad | ChunkNews | LoadBatch | SuspectNews | LimitNews
+    Heartbeat
+    | EngineLoad
+    | ChunkInventory
+    | LoadBatch
+    | SuspicionUpdate
+    | LimitUpdate
 )
 
 
@@ -190,7 +195,7 @@
 
 
 @frozen
-class ChangesAsk:
+class ChangesRequest:
     """Request all records published after a revision.
 
     ``takes_deflated`` isn't set by releases that can't decompress a payload.
@@ -226,7 +231,7 @@
 
 
 @frozen
-class AgesAsk:
+class AgesRequest:
     """Request the ages of the current records."""
 
 
--- a/packages/model/src/crowrudder_model/messages/_knowledge.py
+++ b/packages/model/src/crowrudder_model/messages/_knowledge.py
@@ -12,7 +12,7 @@
 
 
 @frozen(kw_only=True)
-class ProcessNews:
+class ProcessStatus:
     """A process's status: its own, or a peer's suspicion.
 
     ``beat`` is a sequence number. It begins with the process's start in
@@ -28,7 +28,7 @@
 
 
 @frozen(kw_only=True, order=True)
-class ListEdition:
+class MemberListEdition:
     """Identify a member list; ``epoch`` counts the restarts of the platform.
 
     ``revision`` is the platform's counter; ``digest`` identifies the content.
@@ -49,16 +49,16 @@
     status messages of other processes.
     """
 
-    sender: ProcessNews
+    sender: ProcessStatus
     generation: int
     digest: str
-    edition: ListEdition
+    edition: MemberListEdition
     read_age_s: float
-    news: tuple[ProcessNews, ...] = ()
+    news: tuple[ProcessStatus, ...] = ()
 
 
 @frozen(kw_only=True)
-class BundlePart:
+class BundleUpdate:
     """A bundle: complete, or a delta to the one with the digest ``base``.
 
     ``body`` is compressed: the canonical value, or a `BundleDelta`.
@@ -71,19 +71,19 @@
 
 
 @frozen(kw_only=True)
-class MembersPart:
+class MemberListUpdate:
     """A member list: complete, or a delta to the one with the digest ``base``.
 
-    ``body`` is a compressed `MembersDelta`, from an empty list if complete.
+    ``body`` is a compressed `MemberListDelta`, from an empty list if complete.
     """
 
-    edition: ListEdition
+    edition: MemberListEdition
     base: str
     body: bytes
 
 
 @frozen(kw_only=True)
-class MembersDelta:
+class MemberListDelta:
     """Members that are new or changed, and hosts that were removed."""
 
     put: tuple[Member, ...] = ()
@@ -91,13 +91,13 @@
 
 
 @frozen(kw_only=True)
-class TakeAsk:
+class SnapshotRequest:
     """Request newer data from a peer; empty parts aren't requested."""
 
     host: str
     generation: int
     digest: str
-    edition: ListEdition
+    edition: MemberListEdition
 
 
 @frozen(kw_only=True)
@@ -105,5 +105,5 @@
     """Newer data for a peer that is behind."""
 
     host: str
-    bundle: BundlePart | None = None
-    members: MembersPart | None = None
+    bundle: BundleUpdate | None = None
+    members: MemberListUpdate | None = None
--- a/packages/model/src/crowrudder_model/messages/_limits.py
+++ b/packages/model/src/crowrudder_model/messages/_limits.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class LimitWord(msgspec.Struct, frozen=True, array_like=True):
+class LimitReport(msgspec.Struct, frozen=True, array_like=True):
     """The limit that an upstream stated last, as an entry has received it.
 
     ``per_s`` is how many requests a second it accepts from all entries
@@ -18,7 +18,7 @@
     age_ms: int
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Limit reports of some upstreams."""
 
-    words: tuple[LimitWord, ...]
+    words: tuple[LimitReport, ...]
--- a/packages/model/src/crowrudder_model/messages/_report.py
+++ b/packages/model/src/crowrudder_model/messages/_report.py
@@ -6,7 +6,7 @@
 
 
 @frozen(kw_only=True)
-class ReportAsk:
+class ReportRequest:
     """Request a stream of reports, one every ``interval_s`` and on change.
 
     ``entry`` is the incarnation that requests it.
@@ -46,7 +46,7 @@
 
 
 @frozen(kw_only=True)
-class RoomAsk:
+class CapacityRequest:
     """Request the current wait for one more attempt of a customer."""
 
     service: str
@@ -55,7 +55,7 @@
 
 
 @frozen(kw_only=True)
-class RoomReply:
+class CapacityReply:
     """The wait for a slot in seconds; negative if no attempt is accepted.
 
     ``filled`` is the number of attempts divided by the number of slots.
--- a/packages/model/src/crowrudder_model/messages/_run.py
+++ b/packages/model/src/crowrudder_model/messages/_run.py
@@ -2,9 +2,9 @@
 
 Sequence: the entry opens a stream and sends an `Attempt`; the agent answers
 `Queued` or `Refusal`. When a slot is free for the attempt, the agent sends
-`PermitAsk` and waits for a `Permit`. `Piece` messages and one `Final` follow.
+`PermitRequest` and waits for a `Permit`. `Piece` messages and one `Final` follow.
 After a broken stream the entry assumes nothing: it asks the same incarnation
-with `SettleAsk`.
+with `SettleRequest`.
 """
 
 from __future__ import annotations
@@ -89,7 +89,7 @@
 
 
 @frozen(kw_only=True)
-class RunUp:
+class RunClientMessage:
     """Envelope from the entry: exactly one field is set."""
 
     attempt: Attempt | None = None
@@ -118,7 +118,7 @@
 
 
 @frozen(kw_only=True)
-class PermitAsk:
+class PermitRequest:
     """Request the owner's permit to send the attempt to the upstream."""
 
     key: AttemptKey
@@ -163,7 +163,7 @@
 
 
 @frozen(kw_only=True)
-class SettleAsk:
+class SettleRequest:
     """Request the state of an attempt, and its answer from a piece on."""
 
     key: AttemptKey
@@ -179,12 +179,12 @@
 
 
 @frozen(kw_only=True)
-class RunDown:
+class RunServerMessage:
     """Envelope from the agent: exactly one field is set."""
 
     queued: Queued | None = None
     refusal: Refusal | None = None
-    permit_ask: PermitAsk | None = None
+    permit_ask: PermitRequest | None = None
     piece: Piece | None = None
     final: Final | None = None
     settled: Settled | None = None
@@ -192,7 +192,7 @@
     @property
     def body(
         self,
-    ) -> Queued | Refusal | PermitAsk | Piece | Final | Settled | None:
+    ) -> Queued | Refusal | PermitRequest | Piece | Final | Settled | None:
         """The field that is set."""
         return (
             self.queued
--- a/packages/model/src/crowrudder_model/messages/_suspects.py
+++ b/packages/model/src/crowrudder_model/messages/_suspects.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class LifeEnd(msgspec.Struct, frozen=True, array_like=True):
+class IncarnationEnd(msgspec.Struct, frozen=True, array_like=True):
     """An incarnation of an upstream that ended while it had the request.
 
     ``ended_ms`` is how long ago, in milliseconds. ``is_fresh`` is set if the
@@ -17,20 +17,20 @@
     is_fresh: bool = True
 
 
-class SuspectWord(msgspec.Struct, frozen=True, array_like=True):
+class SuspicionReport(msgspec.Struct, frozen=True, array_like=True):
     """What the sender knows of one request, identified by its digest.
 
-    ``whole_ms`` is how long ago a run of it completed, ``refused_ms`` how long
+    ``completed_ms`` is how long ago a run of it completed, ``refused_ms`` how long
     ago it was last refused. Both are in milliseconds, -1 for never.
     """
 
     digest: int
-    ends: tuple[LifeEnd, ...] = ()
-    whole_ms: int = -1
+    ends: tuple[IncarnationEnd, ...] = ()
+    completed_ms: int = -1
     refused_ms: int = -1
 
 
-class SuspectNews(
+class SuspicionUpdate(
     msgspec.Struct,
     frozen=True,
     array_like=True,
@@ -38,4 +38,4 @@
 ):
     """Suspicion reports on some requests."""
 
-    words: tuple[SuspectWord, ...]
+    words: tuple[SuspicionReport, ...]
