--- a/packages/model/src/crowrudder_model/messages/_weights.py
+++ b/packages/model/src/crowrudder_model/messages/_weights.py
@@ -6,7 +6,7 @@
 
 
 @frozen(kw_only=True)
-class StockAsk:
+class InventoryRequest:
     """Request which verified chunks of a version an agent holds."""
 
     host: str
@@ -15,7 +15,7 @@
 
 
 @frozen(kw_only=True)
-class StockReply:
+class InventoryReply:
     """Bit i of ``chunks`` (little-endian) is set when chunk i is held.
 
     ``passes`` are, as bits, the chunks that the agent tried to read from the
@@ -37,7 +37,7 @@
 
 
 @frozen(kw_only=True)
-class ManifestAsk:
+class ManifestRequest:
     """Request a version's manifest."""
 
     version: str
@@ -52,14 +52,14 @@
 
 
 @frozen(kw_only=True)
-class ChunkAsk:
+class ChunkRequest:
     """Request one chunk; ``stock`` is the inventory of the requesting agent."""
 
     host: str
     version: str
     manifest: str
     index: int
-    stock: StockReply | None = None
+    stock: InventoryReply | None = None
 
 
 @frozen(kw_only=True)
@@ -72,6 +72,6 @@
     """
 
     payload: bytes = b''
-    stock: StockReply | None = None
+    stock: InventoryReply | None = None
     busy: bool = False
     absent: bool = False
--- a/packages/model/src/crowrudder_model/rpc/_methods.py
+++ b/packages/model/src/crowrudder_model/rpc/_methods.py
@@ -44,34 +44,39 @@
         return f'/{SERVICE_NAME}/{self.name}'
 
 
-RUN = Method('Run', messages.RunUp, messages.RunDown, CallKind.BOTH_STREAM)
+RUN = Method(
+    'Run',
+    messages.RunClientMessage,
+    messages.RunServerMessage,
+    CallKind.BOTH_STREAM,
+)
 SETTLE = Method(
     'Settle',
-    messages.SettleAsk,
-    messages.RunDown,
+    messages.SettleRequest,
+    messages.RunServerMessage,
     CallKind.DOWN_STREAM,
 )
-ROOM = Method('Room', messages.RoomAsk, messages.RoomReply)
-CANCEL = Method('Cancel', messages.Cancel, messages.Taken)
+ROOM = Method('Room', messages.CapacityRequest, messages.CapacityReply)
+CANCEL = Method('Cancel', messages.Cancel, messages.AcceptedCount)
 REPORTS = Method(
     'Reports',
-    messages.ReportAsk,
+    messages.ReportRequest,
     messages.Report,
     CallKind.DOWN_STREAM,
 )
 EXCHANGE = Method('Exchange', messages.Hello, messages.Hello)
-TAKE = Method('Take', messages.TakeAsk, messages.Knowledge)
+TAKE = Method('Take', messages.SnapshotRequest, messages.Knowledge)
 GIVE = Method('Give', messages.Knowledge, messages.Hello)
-STOCK = Method('Stock', messages.StockAsk, messages.StockReply)
-MANIFEST = Method('Manifest', messages.ManifestAsk, messages.ManifestReply)
+STOCK = Method('Stock', messages.InventoryRequest, messages.InventoryReply)
+MANIFEST = Method('Manifest', messages.ManifestRequest, messages.ManifestReply)
 CHUNK = Method(
     'Chunk',
-    messages.ChunkAsk,
+    messages.ChunkRequest,
     messages.ChunkPiece,
     CallKind.DOWN_STREAM,
 )
-CLAIM = Method('Claim', messages.ClaimAsk, messages.ClaimReply)
-RELEASE = Method('Release', messages.ReleaseAsk, messages.Taken)
-HAND_OVER = Method('HandOver', messages.HandOver, messages.Taken)
-CHANGES = Method('Changes', messages.ChangesAsk, messages.Changes)
-AGES = Method('Ages', messages.AgesAsk, messages.Ages)
+CLAIM = Method('Claim', messages.ClaimRequest, messages.ClaimReply)
+RELEASE = Method('Release', messages.ReleaseRequest, messages.AcceptedCount)
+HAND_OVER = Method('HandOver', messages.HandOver, messages.AcceptedCount)
+CHANGES = Method('Changes', messages.ChangesRequest, messages.Changes)
+AGES = Method('Ages', messages.AgesRequest, messages.Ages)
--- a/packages/standins/src/crowrudder_standins/platform.py
+++ b/packages/standins/src/crowrudder_standins/platform.py
@@ -42,7 +42,7 @@
 
 
 @define
-class Shelf:
+class PublishedEditions:
     """All revisions of a value; lets watchers wait for the next."""
 
     editions: list[Edition] = field(factory=list)
@@ -96,8 +96,8 @@
     def __init__(self, options: Mapping[str, Any]) -> None:
         super().__init__(options)
         self.rate = int(options['--rate'])
-        self.bundle = Shelf()
-        self.members = Shelf()
+        self.bundle = PublishedEditions()
+        self.members = PublishedEditions()
         self.hosts: dict[str, dict[str, Any]] = {}
         self.calls: Counter[int] = Counter()
         self.refused = 0
@@ -143,7 +143,7 @@
         self._save_state()
         return self._publish_members(float(self.options['--member-lag']))
 
-    async def _read(self, call: Call, shelf: Shelf) -> Answer:
+    async def _read(self, call: Call, shelf: PublishedEditions) -> Answer:
         self._count_call()
         if delay_fault := self.faults.take('slow'):
             await asyncio.sleep(delay_fault.amount or _DEFAULT_DELAY_S)
--- a/scripts/_explore_world.py
+++ b/scripts/_explore_world.py
@@ -16,8 +16,8 @@
 
 from crowrudder_core.requests import (
     AgentLedger,
-    MoveOn,
     RequestOwner,
+    RetryElsewhere,
     Settle,
     Stage,
 )
@@ -107,7 +107,8 @@
             for agent, ledger in sorted(self.ledgers.items())
         }
         holds = sorted(
-            (key.attempt, hold.name) for key, hold in self.owner.holds.items()
+            (key.attempt, hold.name)
+            for key, hold in self.owner.attempt_states.items()
         )
         return repr(
             (
@@ -179,7 +180,7 @@
         if self._may_send():
             for agent in self.ledgers:
                 yield Move('send', agent)
-        for key, hold in self.owner.holds.items():
+        for key, hold in self.owner.attempt_states.items():
             if hold.name in {'WAITING', 'GRANTED'}:
                 yield Move(
                     'break', self.agent_by_attempt[key.attempt], key.attempt
@@ -201,9 +202,9 @@
         )
 
     def _may_send(self) -> bool:
-        holds = self.owner.holds.values()
+        holds = self.owner.attempt_states.values()
         has_open_attempt = any(hold.name != 'ENDED' for hold in holds)
-        return not has_open_attempt and len(self.owner.holds) < 2
+        return not has_open_attempt and len(self.owner.attempt_states) < 2
 
     def _on_send(self, move: Move) -> None:
         key = self.owner.open_attempt()
@@ -228,7 +229,9 @@
             self._deliver(move.message)
 
     def _on_ask(self, move: Move) -> None:
-        if self.ledgers[move.agent].ask(_key(move.attempt), now=self.now):
+        if self.ledgers[move.agent].request_permit(
+            _key(move.attempt), now=self.now
+        ):
             self._send(Kind.ASK, self._incarnation_id(move.agent), move.attempt)
         else:
             self.ledgers[move.agent].refuse(_key(move.attempt), now=self.now)
@@ -267,7 +270,7 @@
         match self.owner.lost(_key(move.attempt)):
             case Settle():
                 self.settling |= {move.attempt}
-            case MoveOn():
+            case RetryElsewhere():
                 return
 
     def _on_settle(self, move: Move) -> None:
@@ -380,7 +383,7 @@
 
 def _is_streaming(owner: RequestOwner, key: AttemptKey) -> bool:
     """Return whether the entry still reads the attempt's stream."""
-    hold = owner.holds.get(key)
+    hold = owner.attempt_states.get(key)
     return hold is not None and hold.name in {'WAITING', 'GRANTED'}
 
 
--- a/scripts/_platform_chaos.py
+++ b/scripts/_platform_chaos.py
@@ -32,7 +32,7 @@
 DRAIN_SERVICE_S = 3.0
 """How long a draining replica keeps serving."""
 
-RETURN_S = 1.0
+RECOVERY_WINDOW_S = 1.0
 MAX_FAULTS = 6
 REPLICA_FAULTS = (
     'full', 'fail', 'cut', 'lost', 'hang', 'extra', 'crossed', 'unvouched',
--- a/scripts/_platform_checks.py
+++ b/scripts/_platform_checks.py
@@ -15,7 +15,7 @@
 )
 from attrs import define, field
 
-from crowrudder_core.transfer import chunks_of, indices
+from crowrudder_core.transfer import chunks_of_layers, indices
 from crowrudder_model.fleet import LayerRange
 from crowrudder_standins.fleet_replica import (
     LAYERS,
@@ -179,7 +179,7 @@
 def _pieces_of(order: dict[str, Any], count: int) -> Iterable[int]:
     """Return the pieces that an order loads: those of its layers."""
     layers = LayerRange(order.get('from', 0), order.get('target', LAYERS))
-    return indices(chunks_of(layers, layers=LAYERS, chunks=count))
+    return indices(chunks_of_layers(layers, layers=LAYERS, chunks=count))
 
 
 def _layers_run(pipeline: str) -> list[int]:
--- a/tests/catalog/test_answer_timeout.py
+++ b/tests/catalog/test_answer_timeout.py
@@ -11,7 +11,7 @@
 def request_once(timeout, answer_s):
     """Send one request; return whether its answer arrived in time."""
     if answer_s > timeout.seconds:
-        timeout.on_lost(timeout.seconds)
+        timeout.on_failure(timeout.seconds)
         return False
     timeout.on_answer(answer_s)
     return True
@@ -40,7 +40,7 @@
 
     def test_an_immediate_failure_keeps_the_timeout(self):
         timeout = AnswerTimeout()
-        timeout.on_lost(0.01)
+        timeout.on_failure(0.01)
         assert timeout == AnswerTimeout()
 
     def test_a_fast_answer_shortens_the_timeout(self):
--- a/tests/catalog/test_calls_by_size.py
+++ b/tests/catalog/test_calls_by_size.py
@@ -12,7 +12,7 @@
 from crowrudder_core.catalog import (
     WATCH_WAIT_S,
     WATCHERS,
-    StoreReading,
+    StoreReadPolicy,
     StoreStep,
 )
 
@@ -32,13 +32,13 @@
 
 
 class Platform:
-    """Answers or refuses processes that read by `StoreReading`."""
+    """Answers or refuses processes that read by `StoreReadPolicy`."""
 
     def __init__(self, size, refuses=None):
         names = [f'10.0.{each // 250}.{each % 250}' for each in range(size)]
         entries = names[: max(size // 5, 5)]
         self.readings = [
-            StoreReading(own=name, is_reader=name in set(entries))
+            StoreReadPolicy(own=name, is_reader=name in set(entries))
             for name in names
         ]
         self.calls: Counter[int] = Counter()
@@ -62,10 +62,10 @@
     def _act(self, reading, now):
         """Run one process once; return the time until its next step."""
         if now - self.answered_at >= PROPAGATION_S:
-            reading.on_peer(now - self.answered_at, now)
+            reading.on_peer_report(now - self.answered_at, now)
             reading.on_informed()
         step = reading.step(now)
-        if step is StoreStep.REST:
+        if step is StoreStep.IDLE:
             return min(POLL_INTERVAL_S, max(reading.lists_at - now, 0) + 0.005)
         self.calls[int(now)] += 1
         if self._refuses(reading.own, now):
--- a/tests/catalog/test_catalog.py
+++ b/tests/catalog/test_catalog.py
@@ -143,10 +143,10 @@
         second.replace([item('a', 1), item('b', 2)], through=2, now=50)
         reported = first.ages(now=13)
         assert reported == (RecordAge('a', 1, 3),)
-        aged = second.take_ages(reported, now=50)
+        aged = second.apply_ages(reported, now=50)
         assert aged == [item('a', 1, age_s=3)]
         assert second.age_s('a', now=52) == 5
-        assert not second.take_ages(reported, now=60)
+        assert not second.apply_ages(reported, now=60)
         assert second.age_s('a', now=62) == 15
 
     def test_ages_alone_change_no_record(self):
@@ -159,7 +159,7 @@
             RecordAge('c', 8, 1),
             RecordAge('a', 5, -1),
         ]
-        assert not catalog.take_ages(reported, now=50)
+        assert not catalog.apply_ages(reported, now=50)
         assert payloads_by_key(catalog) == {'a': b'x', 'b': b'x'}
         assert catalog.revision == 6
         assert not catalog.ages(now=50)
--- a/tests/catalog/test_packing.py
+++ b/tests/catalog/test_packing.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from crowrudder_core.catalog import (
-    MOST_RECORD_BYTES,
-    SMALLEST_DEFLATED_BYTES,
+    MAX_RECORD_BYTES,
+    MIN_DEFLATED_BYTES,
     Catalog,
-    deflated,
-    inflated,
+    deflate_record,
+    inflate_record,
 )
 from crowrudder_model import (
     MalformedMessageError,
@@ -43,12 +43,12 @@
     def test_a_record_survives_a_round_trip(self, piece, times, age_s):
         published = item(piece * times, age_s=age_s)
         sent = decode_message(
-            encode_message(deflated(published)), PublishedItem
+            encode_message(deflate_record(published)), PublishedItem
         )
-        assert inflated(sent) == published
+        assert inflate_record(sent) == published
 
     def test_only_the_payload_of_a_large_record_changes(self):
-        sent = deflated(item(age_s=3))
+        sent = deflate_record(item(age_s=3))
         assert len(sent.payload or LARGE) < len(LARGE) / 10
         assert sent == item(sent.payload, age_s=3, is_deflated=True)
 
@@ -57,29 +57,29 @@
         [
             None,
             b'',
-            LARGE[: SMALLEST_DEFLATED_BYTES - 1],
-            random.Random(1).randbytes(4 * SMALLEST_DEFLATED_BYTES),
-            b'a' * (MOST_RECORD_BYTES + 1),
+            LARGE[: MIN_DEFLATED_BYTES - 1],
+            random.Random(1).randbytes(4 * MIN_DEFLATED_BYTES),
+            b'a' * (MAX_RECORD_BYTES + 1),
         ],
         ids=['removal', 'empty', 'small', 'of bytes', 'too large'],
     )
     def test_other_records_are_sent_unchanged(self, payload):
-        assert deflated(item(payload)) == item(payload)
-        assert inflated(item(payload)) == item(payload)
+        assert deflate_record(item(payload)) == item(payload)
+        assert inflate_record(item(payload)) == item(payload)
 
     def test_a_deflated_record_is_not_deflated_again(self):
         dense = zlib.compress(LARGE * 3000, 1)
         sent = deflated_item(dense)
-        assert len(dense) > SMALLEST_DEFLATED_BYTES
-        assert deflated(sent) is sent
+        assert len(dense) > MIN_DEFLATED_BYTES
+        assert deflate_record(sent) is sent
 
     @pytest.mark.parametrize('piece', [b'a', LARGE])
     def test_the_largest_record_survives_a_round_trip(self, piece):
-        times = MOST_RECORD_BYTES // len(piece) + 1
-        published = item((piece * times)[:MOST_RECORD_BYTES])
-        sent = deflated(published)
+        times = MAX_RECORD_BYTES // len(piece) + 1
+        published = item((piece * times)[:MAX_RECORD_BYTES])
+        sent = deflate_record(published)
         assert sent.is_deflated
-        assert inflated(sent) == published
+        assert inflate_record(sent) == published
 
 
 class TestRefused:
@@ -91,31 +91,31 @@
             zlib.compress(LARGE)[:-1],
             zlib.compress(LARGE) + b'x',
             zlib.compress(LARGE)[:-1] + b'x',
-            zlib.compress(b'a' * (MOST_RECORD_BYTES + 1)),
+            zlib.compress(b'a' * (MAX_RECORD_BYTES + 1)),
         ],
         ids=['empty', 'plain', 'cut', 'followed', 'spoilt', 'too large'],
     )
     def test_an_inflate_error_names_the_record(self, body):
         with pytest.raises(MalformedMessageError) as caught:
-            inflated(deflated_item(body))
+            inflate_record(deflated_item(body))
         assert caught.value.peer == 'k'
 
     def test_inflating_a_bomb_uses_bounded_memory(self):
         """A record of 64 KB that inflates to 64 MiB would kill a process."""
-        bomb = deflated_item(zlib.compress(bytes(64 * MOST_RECORD_BYTES)))
+        bomb = deflated_item(zlib.compress(bytes(64 * MAX_RECORD_BYTES)))
         tracemalloc.start()
         try:
             with pytest.raises(MalformedMessageError):
-                inflated(bomb)
+                inflate_record(bomb)
             _, peak_bytes = tracemalloc.get_traced_memory()
         finally:
             tracemalloc.stop()
-        assert peak_bytes < 4 * MOST_RECORD_BYTES
+        assert peak_bytes < 4 * MAX_RECORD_BYTES
 
 
 class TestOneRecord:
-    @pytest.mark.parametrize('first', [item(), deflated(item())])
-    @pytest.mark.parametrize('then', [item(), deflated(item())])
+    @pytest.mark.parametrize('first', [item(), deflate_record(item())])
+    @pytest.mark.parametrize('then', [item(), deflate_record(item())])
     def test_plain_and_deflated_forms_are_the_same_record(self, first, then):
         """A record comes plain from the platform and deflated from a peer."""
         catalog = Catalog()
@@ -123,7 +123,9 @@
         assert not catalog.replace([then], through=7, now=1)
         assert catalog.items() == [first]
 
-    @pytest.mark.parametrize('then', [item(age_s=2), deflated(item(age_s=2))])
+    @pytest.mark.parametrize(
+        'then', [item(age_s=2), deflate_record(item(age_s=2))]
+    )
     def test_the_age_is_applied_from_either_form(self, then):
         catalog = Catalog()
         catalog.apply([item()], through=7, now=0)
@@ -132,7 +134,7 @@
 
     def test_a_deflated_record_is_forwarded_unchanged(self):
         catalog = Catalog()
-        sent = deflated(item(age_s=0))
+        sent = deflate_record(item(age_s=0))
         catalog.apply([sent], through=7, now=10)
         reply = catalog.changes_after(1, now=13, confirmed_s=0)
         assert reply.items == (evolve(sent, age_s=3),)
--- a/tests/catalog/test_reading.py
+++ b/tests/catalog/test_reading.py
@@ -1,6 +1,10 @@
 from __future__ import annotations
 
-from crowrudder_core.catalog import RETURN_S, StoreReading, StoreStep
+from crowrudder_core.catalog import (
+    RECOVERY_WINDOW_S,
+    StoreReadPolicy,
+    StoreStep,
+)
 
 
 class TestUninformed:
@@ -12,16 +16,16 @@
         seconds without any update orders its engine to load 0.6 s later than
         if it had read the platform itself.
         """
-        reading = StoreReading(own='a')
+        reading = StoreReadPolicy(own='a')
         reading.on_start(100)
-        assert reading.step(100) is StoreStep.REST
+        assert reading.step(100) is StoreStep.IDLE
         assert reading.step(100.2) is StoreStep.LIST
 
     def test_an_informed_process_does_not_list(self):
-        reading = StoreReading(own='a')
+        reading = StoreReadPolicy(own='a')
         reading.on_start(100)
         reading.on_informed()
-        assert reading.step(100.2) is StoreStep.REST
+        assert reading.step(100.2) is StoreStep.IDLE
 
 
 class TestStartInAnOutage:
@@ -36,21 +40,21 @@
         outage until engines have loaded the newest version no request could
         begin.
         """
-        reading = StoreReading(own='a')
+        reading = StoreReadPolicy(own='a')
         reading.on_start(100)
         assert reading.confirmed_s(100) > 1.0e6
-        other = StoreReading(own='b')
+        other = StoreReadPolicy(own='b')
         other.on_answer(90)
-        other.on_peer(reading.confirmed_s(100), 100)
+        other.on_peer_report(reading.confirmed_s(100), 100)
         other.on_answer(101)
         assert other.unknown_age_s(101, is_informed=True) == 0
 
     def test_it_takes_over_only_after_the_silence_timeout(self):
-        reading = StoreReading(own='a')
+        reading = StoreReadPolicy(own='a')
         reading.on_start(100)
         reading.on_informed()
-        assert reading.step(102) is StoreStep.REST
-        assert reading.step(104) is not StoreStep.REST
+        assert reading.step(102) is StoreStep.IDLE
+        assert reading.step(104) is not StoreStep.IDLE
 
 
 class TestUnknownAges:
@@ -63,20 +67,20 @@
         previous version, and for six seconds, until engines have loaded the
         new version, all requests to the model would be refused.
         """
-        reading = StoreReading(own='a')
+        reading = StoreReadPolicy(own='a')
         reading.on_answer(100)
         reading.on_failed()
         reading.on_answer(108)
         assert reading.unknown_age_s(108, is_informed=True) == 0
 
     def test_a_peer_report_also_marks_the_end_of_an_outage(self):
-        reading = StoreReading(own='a')
-        reading.on_peer(0, 100)
-        reading.on_peer(0.5, 108)
+        reading = StoreReadPolicy(own='a')
+        reading.on_peer_report(0, 100)
+        reading.on_peer_report(0.5, 108)
         assert reading.unknown_age_s(108, is_informed=True) == 0
 
     def test_without_an_outage_the_age_is_that_of_the_last_confirmation(self):
-        reading = StoreReading(own='a')
+        reading = StoreReadPolicy(own='a')
         for now in range(100, 120, 2):
             reading.on_answer(now)
         found = reading.unknown_age_s(118, is_informed=True)
@@ -84,13 +88,13 @@
         assert 2 <= found < 8
 
     def test_the_recovery_window_ends(self):
-        reading = StoreReading(own='a')
+        reading = StoreReadPolicy(own='a')
         reading.on_answer(100)
         reading.on_answer(108)
         reading.on_answer(110)
-        assert reading.unknown_age_s(108 + RETURN_S, is_informed=True)
+        assert reading.unknown_age_s(108 + RECOVERY_WINDOW_S, is_informed=True)
 
     def test_a_new_process_reports_an_unknown_age(self):
-        reading = StoreReading(own='a')
+        reading = StoreReadPolicy(own='a')
         reading.on_answer(100)
         assert reading.unknown_age_s(100, is_informed=False) is None
--- a/tests/catalog/test_view.py
+++ b/tests/catalog/test_view.py
@@ -10,7 +10,7 @@
     FleetView,
     Releases,
     RouteTable,
-    StoreReading,
+    StoreReadPolicy,
     StoreStep,
 )
 from crowrudder_model.fleet import (
@@ -121,7 +121,7 @@
         view.on_removed('k', now=10, may_return=True)
         assert view.upstreams('s', now=11)
         assert not view.upstreams('s', now=12)
-        assert [each.id for each in view.forget_gone(now=12)] == ['i-1']
+        assert [each.id for each in view.remove_expired(now=12)] == ['i-1']
 
     def test_an_upstream_with_an_unreadable_record_gets_no_requests(self):
         """An unreadable record must not keep the previous one in force.
@@ -164,7 +164,7 @@
 
 class TestStoreReading:
     def reading(self, rank):
-        reading = StoreReading(own='e')
+        reading = StoreReadPolicy(own='e')
         reading.rank = rank
         return reading
 
@@ -176,8 +176,8 @@
 
     def test_other_ranks_rest_while_the_platform_is_confirmed(self):
         reading = self.reading(WATCHERS)
-        reading.on_peer(0.1, now=100)
-        assert reading.step(100) is StoreStep.REST
+        reading.on_peer_report(0.1, now=100)
+        assert reading.step(100) is StoreStep.IDLE
 
     def test_other_ranks_read_when_no_process_reaches_the_platform(self):
         """Other hosts read when the platform refuses all watchers.
@@ -187,13 +187,13 @@
         nowhere, and a withdrawn key would be accepted for minutes.
         """
         reading = self.reading(WATCHERS + 3)
-        reading.on_peer(0, now=100)
-        assert reading.step(104) is not StoreStep.REST
+        reading.on_peer_report(0, now=100)
+        assert reading.step(104) is not StoreStep.IDLE
 
     def test_compacted_history_requires_a_complete_list(self):
         reading = self.reading(0)
         reading.on_listed()
-        reading.on_forgotten()
+        reading.on_history_lost()
         assert reading.step(0) is StoreStep.LIST
 
     def test_stale_records_are_not_current(self):
@@ -220,7 +220,7 @@
         window has ended, though no engine has loaded it, every request would
         be refused for five seconds, from two seconds after the kill.
         """
-        releases = Releases(9.7, free_until=103)
+        releases = Releases(9.7, enforced_from=103)
         releases.on_named('m', 2, age_s=None, now=100)
         assert releases.ends_at('m', 1) == pytest.approx(103)
 
@@ -228,12 +228,12 @@
         self,
     ):
         """The store may first answer a new process seconds after its start."""
-        releases = Releases(9.7, free_until=103)
+        releases = Releases(9.7, enforced_from=103)
         releases.on_named('m', 2, age_s=None, now=105)
         assert releases.ends_at('m', 1) == pytest.approx(105)
 
     def test_a_reported_age_replaces_an_unknown_one(self):
-        releases = Releases(9.7, free_until=103)
+        releases = Releases(9.7, enforced_from=103)
         releases.on_named('m', 2, age_s=None, now=100)
         releases.on_named('m', 2, age_s=9, now=100)
         assert releases.ends_at('m', 1) == pytest.approx(100.7)
--- a/tests/catalog/test_watch_ages.py
+++ b/tests/catalog/test_watch_ages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crowrudder_core.catalog import Punctuality, WatchAges
+from crowrudder_core.catalog import TickMonitor, WatchAges
 
 
 def earliest_publication(ages, asked_at, now, **overrides):
@@ -48,7 +48,7 @@
         after its end.
         """
         ages = WatchAges(known_until=50)
-        ages.on_rest()
+        ages.on_idle()
         assert (
             earliest_publication(ages, 102.8, 102.81, confirmed_at=100) == 100
         )
@@ -86,20 +86,20 @@
 class TestPunctuality:
     @pytest.fixture
     def ticking(self):
-        punctuality = Punctuality(every_s=0.25)
+        punctuality = TickMonitor(interval_s=0.25)
         for number in range(5):
             punctuality.on_tick(100 + 0.25 * number)
         return punctuality
 
     def test_punctual_between_ticks(self, ticking):
-        assert ticking.is_given(101.2)
+        assert ticking.is_on_time(101.2)
 
     def test_not_punctual_while_a_tick_is_overdue(self, ticking):
-        assert not ticking.is_given(101.5)
+        assert not ticking.is_on_time(101.5)
 
     def test_not_punctual_until_a_tick_after_a_late_one(self, ticking):
         ticking.on_tick(106)
-        assert not ticking.is_given(106.01)
+        assert not ticking.is_on_time(106.01)
         ticking.on_tick(106.25)
         ticking.on_tick(106.5)
-        assert ticking.is_given(106.51)
+        assert ticking.is_on_time(106.51)
--- a/tests/config/test_book.py
+++ b/tests/config/test_book.py
@@ -6,7 +6,7 @@
 
 from crowrudder_core.config import (
     Accepted,
-    ConfigBook,
+    ActiveConfig,
     Held,
     Ignored,
     Lost,
@@ -20,11 +20,11 @@
     return Offer(payload=value, revision=revision, teller=teller)
 
 
-def open_config(*values: bytes) -> ConfigBook:
-    book = ConfigBook(is_open=True)
+def open_config(*values: bytes) -> ActiveConfig:
+    active_config = ActiveConfig(is_open=True)
     for value in values:
-        book.offer(offer(value), now=1)
-    return book
+        active_config.offer(offer(value), now=1)
+    return active_config
 
 
 def sorted_by_digest(*values: bytes) -> list[bytes]:
@@ -33,13 +33,13 @@
 
 class TestOrder:
     def test_newer_bundle_replaces_older_and_never_reverts(self) -> None:
-        book = open_config(payload(1), payload(2), payload(1))
-        assert book.order == (2, digest_in(payload(2)))
+        active_config = open_config(payload(1), payload(2), payload(1))
+        assert active_config.order == (2, digest_in(payload(2)))
 
     def test_duplicate_is_ignored(self) -> None:
-        book = open_config(payload(1))
-        assert book.offer(offer(payload(1), 9), now=2) == Ignored()
-        assert book.in_force_since == 1
+        active_config = open_config(payload(1))
+        assert active_config.offer(offer(payload(1), 9), now=2) == Ignored()
+        assert active_config.in_force_since == 1
 
     def test_rebuilt_platform_with_reset_revisions_causes_no_revert(
         self,
@@ -52,7 +52,7 @@
         revision 500 resumes with the loser, which would win by revision.
         """
         low, high = sorted_by_digest(payload(5, rate=1), payload(5, rate=2))
-        replaced = ConfigBook(is_open=True)
+        replaced = ActiveConfig(is_open=True)
         replaced.offer(offer(high, 1), now=1)
         replaced.offer(offer(low, 500, 'woken'), now=2)
         assert replaced.order.digest == digest_in(high)
@@ -74,14 +74,14 @@
     def test_invalid_bundle_is_refused_and_reported_once(
         self, value: bytes
     ) -> None:
-        book = open_config(payload(6))
-        before = book.order
-        verdict = book.offer(offer(value), now=2)
+        active_config = open_config(payload(6))
+        before = active_config.order
+        verdict = active_config.offer(offer(value), now=2)
         assert isinstance(verdict, Refused)
-        assert book.offer(offer(value, 2), now=3) == Ignored()
-        assert book.order == before
-        book.offer(offer(payload(7)), now=4)
-        assert book.refused is None
+        assert active_config.offer(offer(value, 2), now=3) == Ignored()
+        assert active_config.order == before
+        active_config.offer(offer(payload(7)), now=4)
+        assert active_config.refused is None
 
 
 class TestRaces:
@@ -97,9 +97,9 @@
     def test_loser_is_reported_once_though_the_platform_keeps_it(self) -> None:
         """Otherwise the audit log gets an entry for each read."""
         low, high = sorted_by_digest(payload(2, rate=1), payload(2, rate=2))
-        book = open_config(high)
-        assert isinstance(book.offer(offer(low), now=2), Lost)
-        assert book.offer(offer(low, 2), now=3) == Ignored()
+        active_config = open_config(high)
+        assert isinstance(active_config.offer(offer(low), now=2), Lost)
+        assert active_config.offer(offer(low, 2), now=3) == Ignored()
 
     def test_successor_of_an_older_state_reports_the_loser(
         self,
@@ -108,9 +108,9 @@
         first = payload(1)
         second = payload(2, parent=digest_in(first))
         third = payload(3, parent=digest_in(first), rate=2)
-        book = open_config(first, second, third)
-        assert book.lost is not None
-        assert book.lost.digest == digest_in(second)
+        active_config = open_config(first, second, third)
+        assert active_config.lost is not None
+        assert active_config.lost.digest == digest_in(second)
 
     def test_direct_successor_reports_no_loser(self) -> None:
         first = payload(1)
@@ -130,21 +130,25 @@
         The platform is stale and returns generation 1; the peers have 2. A new
         process that reads the platform first must not put 1 in force.
         """
-        book = ConfigBook()
-        assert book.offer(offer(payload(1)), now=1) == Held()
-        assert book.offer(offer(payload(2), 2, 'peer'), now=2) == Held()
-        assert book.bundle is None
-        verdicts = book.open(now=3)
+        active_config = ActiveConfig()
+        assert active_config.offer(offer(payload(1)), now=1) == Held()
+        assert (
+            active_config.offer(offer(payload(2), 2, 'peer'), now=2) == Held()
+        )
+        assert active_config.bundle is None
+        verdicts = active_config.open(now=3)
         assert isinstance(verdicts[0], Accepted)
         assert verdicts[0].before == (0, '')
-        assert book.order.generation == 2
+        assert active_config.order.generation == 2
 
     def test_invalid_bundle_is_refused_before_it_is_held(self) -> None:
-        book = ConfigBook()
-        assert isinstance(book.offer(offer(b'?'), now=1), Refused)
-        assert not book.open(now=2)
+        active_config = ActiveConfig()
+        assert isinstance(active_config.offer(offer(b'?'), now=1), Refused)
+        assert not active_config.open(now=2)
 
     def test_accepts_offers_after_opening_without_any(self) -> None:
-        book = ConfigBook()
-        book.open(now=1)
-        assert isinstance(book.offer(offer(payload(1)), now=2), Accepted)
+        active_config = ActiveConfig()
+        active_config.open(now=1)
+        assert isinstance(
+            active_config.offer(offer(payload(1)), now=2), Accepted
+        )
--- a/tests/config/test_knowledge_task.py
+++ b/tests/config/test_knowledge_task.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from crowrudder_daemon.knowledge import PeerAnswered, PeerSilent
+from crowrudder_daemon.knowledge import PeerAnswered, PeerUnreachable
 from crowrudder_daemon.knowledge._state import KnowledgeState
 from support.aio import run
 from support.bundles import digest_in, fleet, payload
@@ -88,7 +88,9 @@
                 hosts.platform.publish(payload(3))
                 await hosts.stop('host-0003')
                 hosts.start(hosts.members[3])
-                await hosts.until(lambda task: task.book.order.generation > 1)
+                await hosts.until(
+                    lambda task: task.active_config.order.generation > 1
+                )
                 hosts.platform.fault = ''
                 hosts.platform.wake()
                 await hosts.in_force(3)
@@ -143,13 +145,21 @@
                 hosts.other_platform.publish(other)
                 await hosts.in_force(2)
                 assert (
-                    len({task.book.order for task in hosts.tasks.values()}) == 2
+                    len(
+                        {
+                            task.active_config.order
+                            for task in hosts.tasks.values()
+                        }
+                    )
+                    == 2
                 )
                 # Wait until each side suspects all hosts of the other.
                 await hosts.until(lambda task: len(task.snapshot.suspects) == 5)
                 hosts.far_side = frozenset()
                 await hosts.until(
-                    lambda task: task.book.order.digest == digest_in(winner)
+                    lambda task: (
+                        task.active_config.order.digest == digest_in(winner)
+                    )
                 )
                 assert not hosts.reverts()
                 lost = [
@@ -214,10 +224,10 @@
                 hosts.platform.publish(FIRST)
                 await hosts.in_force(1)
                 entry = hosts.tasks['host-0000']
-                entry.post(PeerSilent('host-0005', 'broken'))
+                entry.post(PeerUnreachable('host-0005', 'broken'))
                 entry.post(PeerAnswered('host-0005'))
-                entry.post(PeerSilent('host-0005', 'broken'))
-                entry.post(PeerSilent('host-0005', 'broken'))
+                entry.post(PeerUnreachable('host-0005', 'broken'))
+                entry.post(PeerUnreachable('host-0005', 'broken'))
                 await hosts.until(lambda task: bool(suspected(hosts)))
                 await hosts.until(lambda task: not task.snapshot.suspects)
                 assert len(suspected(hosts)) == 1
--- a/tests/config/test_reading.py
+++ b/tests/config/test_reading.py
@@ -8,7 +8,7 @@
 from attrs import evolve
 
 from crowrudder_core.config import (
-    PlatformReading,
+    PlatformReadPolicy,
     ReadingMode,
     watchers_of,
 )
@@ -20,18 +20,20 @@
 SOURCES = 2
 
 
-def make_readings(count: int) -> list[PlatformReading]:
+def make_readings(count: int) -> list[PlatformReadPolicy]:
     members = fleet(count)
     found = []
     for each in members:
-        reading = PlatformReading(each.host, each.failure_domain, started_at=0)
+        reading = PlatformReadPolicy(
+            each.host, each.failure_domain, started_at=0
+        )
         reading.on_members(members)
         found.append(reading)
     return found
 
 
 def count_modes(
-    found: list[PlatformReading], now: float
+    found: list[PlatformReadPolicy], now: float
 ) -> Counter[ReadingMode]:
     return Counter(reading.mode(now) for reading in found)
 
@@ -41,7 +43,7 @@
         for count in (60, FLEET_SIZE):
             found = make_readings(count)
             for reading in found:
-                reading.on_heard(age_s=0, now=1)
+                reading.on_peer_report(age_s=0, now=1)
             assert count_modes(found, 1)[ReadingMode.WATCH] == 18
 
     def test_ranking_is_independent_of_member_order(self) -> None:
@@ -65,7 +67,7 @@
     def test_listener_without_peer_messages_polls(self) -> None:
         reading = make_readings(60)[-1]
         reading.rank = 9
-        reading.on_heard(age_s=0, now=1)
+        reading.on_peer_report(age_s=0, now=1)
         assert reading.mode(2) is ReadingMode.LISTEN
         assert reading.mode(8) is ReadingMode.POLL
 
@@ -78,11 +80,11 @@
         """
         found = make_readings(600)
         for reading in found:
-            reading.on_heard(age_s=0, now=0)
+            reading.on_peer_report(age_s=0, now=0)
         polling = {}
         for now in range(1, 61):
             for reading in found:
-                reading.on_heard(age_s=now, now=now)
+                reading.on_peer_report(age_s=now, now=now)
             polling[now] = count_modes(found, now)[ReadingMode.POLL]
         assert polling[22] == 0
         assert polling[23] == 18
@@ -91,10 +93,10 @@
     def test_a_recent_reading_anywhere_ends_polling(self) -> None:
         found = make_readings(600)
         for reading in found:
-            reading.on_heard(age_s=100, now=100)
+            reading.on_peer_report(age_s=100, now=100)
         assert count_modes(found, 100)[ReadingMode.POLL] > 18
         for reading in found:
-            reading.on_heard(age_s=1, now=101)
+            reading.on_peer_report(age_s=1, now=101)
         assert count_modes(found, 101)[ReadingMode.POLL] == 0
 
 
@@ -135,7 +137,9 @@
         assert reading.retry_pause_s(POLL_S, Random(1)) <= POLL_S * 8
 
 
-def count_polls(found: list[PlatformReading], *, fails: bool) -> Counter[int]:
+def count_polls(
+    found: list[PlatformReadPolicy], *, fails: bool
+) -> Counter[int]:
     """Start polling both sources everywhere at once; return calls by second."""
     random = Random(1)
     calls: Counter[int] = Counter()
--- a/tests/config/test_spread_machine.py
+++ b/tests/config/test_spread_machine.py
@@ -13,7 +13,7 @@
     rule,
 )
 
-from crowrudder_core.config import ConfigBook, ConfigOrder, Offer
+from crowrudder_core.config import ActiveConfig, ConfigOrder, Offer
 from crowrudder_model.declared import (
     apply_delta,
     delta_between,
@@ -25,14 +25,14 @@
 
 
 class Spread(RuleBasedStateMachine):
-    """A fleet of `ConfigBook`, a platform that may be stale, and messages."""
+    """A fleet of `ActiveConfig`, a platform that may be stale, and messages."""
 
     published = StateBundle('published')
 
     def __init__(self) -> None:
         super().__init__()
         self.values: list[bytes] = []
-        self.books = [ConfigBook(is_open=True) for _ in range(HOSTS)]
+        self.books = [ActiveConfig(is_open=True) for _ in range(HOSTS)]
         self.highest = [ConfigOrder() for _ in range(HOSTS)]
         self.in_flight: list[tuple[int, Offer]] = []
         self.best = ConfigOrder()
@@ -96,7 +96,7 @@
         """Start a new process that reads a stale platform and asks one peer."""
         known = ConfigOrder() if peer == host else self.books[peer].order
         asked = self.books[peer].payload
-        self.books[host] = ConfigBook()
+        self.books[host] = ActiveConfig()
         self.highest[host] = ConfigOrder()
         self.offer_to(host, self.values[revision], revision)
         if peer != host and asked:
@@ -107,19 +107,22 @@
 
     @invariant()
     def never_goes_back(self) -> None:
-        for host, book in enumerate(self.books):
-            assert book.order >= self.highest[host]
-            self.highest[host] = book.order
-            self.best = max(self.best, book.order)
+        for host, active_config in enumerate(self.books):
+            assert active_config.order >= self.highest[host]
+            self.highest[host] = active_config.order
+            self.best = max(self.best, active_config.order)
 
     def teardown(self) -> None:
         """Exchange between all hosts twice: all end on the newest bundle."""
-        held = max((book.order for book in self.books), default=ConfigOrder())
+        held = max(
+            (active_config.order for active_config in self.books),
+            default=ConfigOrder(),
+        )
         for sender in (*range(HOSTS), *range(HOSTS)):
             for receiver in range(HOSTS):
                 if self.books[sender].payload:
                     self.offer_to(receiver, self.books[sender].payload, 0)
-        assert {book.order for book in self.books} == {held}
+        assert {active_config.order for active_config in self.books} == {held}
 
     def offer_to(self, host: int, value: bytes, revision: int) -> None:
         offer = Offer(payload=value, revision=revision, teller='platform')
--- a/tests/daemon/test_loop_watch.py
+++ b/tests/daemon/test_loop_watch.py
@@ -96,7 +96,7 @@
         with_bench(check)
 
 
-class TestLateness:
+class TestLatenessReporter:
     def test_worst_of_many_within_the_interval_is_logged_after_it(self):
         lateness = LatenessReporter()
         first = lateness.on_woken(0.2, 10)
--- a/tests/daemon/test_process.py
+++ b/tests/daemon/test_process.py
@@ -220,14 +220,14 @@
         cancelled task doesn't end. Cause: the wait for cancelled tasks had no
         timeout.
         """
-        monkeypatch.setattr(_lifecycle, 'CLOSE_S', 0.05)
+        monkeypatch.setattr(_lifecycle, 'SHUTDOWN_STEP_TIMEOUT_S', 0.05)
 
         async def scenario():
             made = await bench(FakeRole(endless=step), drain_s=0.05)
             made.role.release.set()
             made.stop.ask('SIGTERM')
             assert await asyncio.wait_for(made.task, 2) == code
-            assert made.life.stuck
+            assert made.life.has_unfinished_steps
             made.role.let_go.set()
 
         run(scenario())
--- a/tests/dispatch/test_dispatch.py
+++ b/tests/dispatch/test_dispatch.py
@@ -24,14 +24,14 @@
 from crowrudder_model import InvariantError
 
 
-def make_dispatch(*, repeatable=False, most_sends=2, limit_at=10.0):
+def make_dispatch(*, repeatable=False, max_sends=2, deadline_at=10.0):
     return Dispatch(
-        repeatable=repeatable, most_sends=most_sends, limit_at=limit_at
+        repeatable=repeatable, max_sends=max_sends, deadline_at=deadline_at
     )
 
 
 def after(request, ending, now=0.0, *, has_budget=True):
-    return request.after(ending, now=now, take_retry=lambda: has_budget)
+    return request.after(ending, now=now, spend_retry=lambda: has_budget)
 
 
 class TestOnce:
@@ -57,7 +57,7 @@
         assert isinstance(after(request, NotRun('full')), Refuse)
 
     def test_unsent_request_is_retried_elsewhere(self):
-        request = make_dispatch(most_sends=1)
+        request = make_dispatch(max_sends=1)
         for _ in range(3):
             assert isinstance(after(request, NotSent('refused')), SendAgain)
         request.on_sent('d', now=0)
@@ -110,9 +110,7 @@
 
     @initialize(repeatable=st.booleans(), max_sends=st.integers(1, 3))
     def begin(self, repeatable, max_sends):
-        self.request = make_dispatch(
-            repeatable=repeatable, most_sends=max_sends
-        )
+        self.request = make_dispatch(repeatable=repeatable, max_sends=max_sends)
         self.max_sends = max_sends
         self.now = 0.0
         self.sends = 0
--- a/tests/exploration/test_explore.py
+++ b/tests/exploration/test_explore.py
@@ -61,7 +61,7 @@
         def retry_elsewhere(self, key):
             return self.refused(key)
 
-        monkeypatch.setattr(RequestOwner, '_gone', retry_elsewhere)
+        monkeypatch.setattr(RequestOwner, '_on_agent_gone', retry_elsewhere)
         assert explored(deaths=1).broken
 
 
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -20,8 +20,12 @@
     fail, and has no try left. Cause: the entry was right, and the test had
     not said that time plays no part in it.
     """
-    if request.node.get_closest_marker('usual_patience'):
+    if request.node.get_closest_marker('default_timeouts'):
         return
-    for name in ('FIRST_SILENCE_S', 'PAUSE_SILENCE_S', 'WHOLE_SILENCE_S'):
+    for name in (
+        'FIRST_EVENT_TIMEOUT_S',
+        'PAUSE_TIMEOUT_S',
+        'SHORT_ANSWER_TIMEOUT_S',
+    ):
         monkeypatch.setattr(_timeouts, name, LONG_S)
     monkeypatch.setattr(_attempt, 'CONNECT_S', LONG_S)
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -11,7 +11,7 @@
 from attrs import evolve
 
 from crowrudder_core.transfer import (
-    MOST_COPIES,
+    MAX_COPIES,
     OriginReason,
     _transfer,
     full,
@@ -19,20 +19,20 @@
 )
 from crowrudder_daemon.fleet_agent import _digests, _library, _loader
 from crowrudder_standins._faults import Fault
-from support.agent_checks import assert_whole, checked
+from support.agent_checks import assert_complete, checked
 
 
 def chunks_held_together(world, version):
     """Return the chunks (bits) that the agents hold together."""
     transfers = [
-        agent.library.shelf.transfers.get(version) for agent in world.agents
+        agent.library.versions.transfers.get(version) for agent in world.agents
     ]
     return reduce(or_, (each.held for each in transfers if each), 0)
 
 
 def plan_after_first_inventory(wants, *sources, **more):
     """Plan reads; assigned ones only once another host's inventory arrived."""
-    if wants.turn_reason is OriginReason.UNHEARD:
+    if wants.assigned_reason is OriginReason.UNHEARD:
         wants = evolve(wants, from_origin=0)
     return plan_reads(wants, *sources, **more)
 
@@ -49,10 +49,10 @@
                 lambda: all(each.whole_weights == 2 for each in replicas)
             )
             for replica in replicas:
-                assert_whole(world, replica, 2)
+                assert_complete(world, replica, 2)
             # A chunk is read here before any inventory arrives. How close the
             # reads come to one copy is measured over slow links.
-            assert world.origin.reads[2] <= MOST_COPIES * world.origin.count
+            assert world.origin.reads[2] <= MAX_COPIES * world.origin.count
 
         checked(check)
 
@@ -65,7 +65,9 @@
         # On a busy machine both inventories may be late; then a host without
         # incoming chunks, or an assigned reader, reads from the origin.
         monkeypatch.setattr(
-            _library, 'PACE', {**_library.PACE, 'starved_s': 30}
+            _library,
+            'TRANSFER_PACING',
+            {**_library.TRANSFER_PACING, 'starved_s': 30},
         )
         monkeypatch.setattr(_transfer, 'plan_reads', plan_after_first_inventory)
 
@@ -81,8 +83,8 @@
             before = world.origin.reads[1]
             fresh = await world.add_agent(5)
             await world.until(lambda: fresh.whole_weights == 1)
-            assert_whole(world, fresh, 1)
-            held = world.agents[-1].library.shelf.transfers['m@1']
+            assert_complete(world, fresh, 1)
+            held = world.agents[-1].library.versions.transfers['m@1']
             assert not held.origin.reasons
             assert world.origin.reads[1] == before
 
@@ -100,7 +102,7 @@
                 lambda: all(each.whole_weights == 3 for each in replicas)
             )
             for replica in replicas:
-                assert_whole(world, replica, 3)
+                assert_complete(world, replica, 3)
 
         checked(check)
 
@@ -151,7 +153,7 @@
                 lambda: all(each.whole_weights == 3 for each in replicas)
             )
             for replica in replicas:
-                assert_whole(world, replica, 3)
+                assert_complete(world, replica, 3)
 
         checked(check)
 
@@ -167,7 +169,7 @@
         seven seconds.
         """
         monkeypatch.setattr(_loader, 'load_delay_s', lambda **_: 0)
-        monkeypatch.setattr(_digests, 'PAUSE_S', 60)
+        monkeypatch.setattr(_digests, 'READ_RETRY_S', 60)
 
         async def check(world):
             replicas = [
@@ -194,7 +196,7 @@
                 lambda: all(each.whole_weights == 2 for each in replicas)
             )
             for replica in replicas:
-                assert_whole(world, replica, 2)
+                assert_complete(world, replica, 2)
 
         checked(check)
 
@@ -282,7 +284,7 @@
             replica.weights = 0
             replica.staged.clear()
             await world.until(lambda: replica.whole_weights == 1)
-            assert_whole(world, replica, 1)
+            assert_complete(world, replica, 1)
 
         checked(check)
 
--- a/tests/fleet/test_agent_chunks.py
+++ b/tests/fleet/test_agent_chunks.py
@@ -4,7 +4,7 @@
 
 from crowrudder_daemon.fleet_agent import _loader
 from crowrudder_standins._faults import Fault
-from support.agent_checks import assert_whole, checked
+from support.agent_checks import assert_complete, checked
 
 
 class TestParts:
@@ -39,7 +39,7 @@
             held = sorted((each['from'], each['target']) for each in parts)
             assert held == [(0, 5), (5, 10), (10, 16)]
             for replica in replicas:
-                assert_whole(world, replica, 1)
+                assert_complete(world, replica, 1)
                 assert [order['mode'] for order in replica.orders] == [
                     'wait',
                     'wait',
@@ -54,7 +54,7 @@
             fresh = await world.add_agent(5)
             await world.until(lambda: fresh.whole_weights == 1)
             assert len(fresh.orders) == 1
-            assert_whole(world, fresh, 1)
+            assert_complete(world, fresh, 1)
 
         checked(check)
 
@@ -65,7 +65,7 @@
             world.origin.faults.switch_on(Fault('corrupt', 5))
             replica = await world.add_agent(1)
             await world.until(lambda: replica.whole_weights == 1)
-            assert_whole(world, replica, 1)
+            assert_complete(world, replica, 1)
 
         checked(check)
 
@@ -80,7 +80,7 @@
             world.origin.faults.switch_on(Fault('wrong_digest', 1))
             replica = await world.add_agent(1)
             await world.until(lambda: replica.whole_weights == 1)
-            assert_whole(world, replica, 1)
+            assert_complete(world, replica, 1)
 
         checked(check)
 
@@ -101,7 +101,7 @@
             world.origin.faults.switch_off('wrong_digest')
             for replica in replicas:
                 await world.until(lambda each=replica: each.whole_weights == 1)
-                assert_whole(world, replica, 1)
+                assert_complete(world, replica, 1)
 
         checked(check)
 
@@ -110,7 +110,7 @@
             world.origin.faults.switch_on(Fault('corrupt', 9))
             replica = await world.add_agent(1)
             await world.until(lambda: replica.whole_weights == 1)
-            assert_whole(world, replica, 1)
+            assert_complete(world, replica, 1)
 
         checked(check)
 
@@ -128,7 +128,7 @@
             replica.staged = {0: b'rotten', 3: b''}
             world.name_version(2)
             await world.until(lambda: replica.whole_weights == 2)
-            assert_whole(world, replica, 2)
+            assert_complete(world, replica, 2)
 
         checked(check)
 
@@ -142,7 +142,7 @@
     """
 
     def test_chunks_are_staged_before_the_load(self, monkeypatch):
-        monkeypatch.setattr(_loader, 'EARLY_S', 0.001)
+        monkeypatch.setattr(_loader, 'EARLY_STAGE_INTERVAL_S', 0.001)
 
         async def check(world):
             replica = await world.add_agent(1, loaded=1, version_s=60)
@@ -162,7 +162,7 @@
                 for index in range(world.origin.count)
             }
             await world.until(lambda: replica.whole_weights == 1)
-            assert_whole(world, replica, 1)
+            assert_complete(world, replica, 1)
             assert world.origin.reads[1] == world.origin.count // 2
 
         checked(check)
--- a/tests/fleet/test_agent_versions.py
+++ b/tests/fleet/test_agent_versions.py
@@ -6,7 +6,7 @@
 from crowrudder_daemon.fleet_agent._keeper import WeightsKeeper
 from crowrudder_standins._faults import Fault
 from crowrudder_standins.origin import Pacer
-from support.agent_checks import assert_whole, checked
+from support.agent_checks import assert_complete, checked
 
 
 class TestNewestBesideTheOneBefore:
@@ -20,7 +20,7 @@
         for four seconds.
         """
         monkeypatch.setattr(_loader, 'load_delay_s', lambda **_: 0)
-        monkeypatch.setattr(_digests, 'PAUSE_S', 0.01)
+        monkeypatch.setattr(_digests, 'READ_RETRY_S', 0.01)
         collected = []
         collect = WeightsKeeper._collect
 
@@ -49,6 +49,6 @@
             await world.until(lambda: 'm@3' in agent.keeper.status()['shares'])
             assert share() < 1
             await world.until(lambda: replica.whole_weights == 3)
-            assert_whole(world, replica, 3)
+            assert_complete(world, replica, 3)
 
         checked(check)
--- a/tests/fleet/test_ages.py
+++ b/tests/fleet/test_ages.py
@@ -47,7 +47,7 @@
             world.store_address = '127.0.0.1:9'
             second = await world.add_entry(2)
             await world.ready()
-            suspend_before(second, 'on_records_came', for_s=0.4)
+            suspend_before(second, 'on_records_received', for_s=0.4)
             world.name_version(2)
             await world.until(lambda: newest(second) and newest(first))
             assert newest(second).published_at <= newest(first).published_at
@@ -55,7 +55,7 @@
         checked(check, entries=1)
 
 
-class TestAgesOnTheWatch:
+class TestAgesFromWatches:
     @pytest.fixture(autouse=True)
     def short_wait(self, monkeypatch):
         monkeypatch.setattr(_catalog_task, 'WATCH_WAIT_S', WAIT_S)
@@ -69,7 +69,7 @@
         version up to three seconds after its end.
         """
         # An immediate answer may take longer on a busy machine.
-        monkeypatch.setattr(_watch_ages, 'QUICK_S', 30)
+        monkeypatch.setattr(_watch_ages, 'IMMEDIATE_ANSWER_S', 30)
 
         async def check(world):
             source = world.entries[0].catalog._source
@@ -128,7 +128,7 @@
 
         Delays of a busy machine must not make it uncertain here.
         """
-        monkeypatch.setattr(_punctuality, 'LATE_S', 30)
+        monkeypatch.setattr(_punctuality, 'LATE_TICK_S', 30)
 
         async def check(world):
             source = world.entries[0].catalog._source
--- a/tests/fleet/test_attempt_line.py
+++ b/tests/fleet/test_attempt_line.py
@@ -11,8 +11,8 @@
 from attrs import define
 
 from crowrudder_core.dispatch import Dispatch, EventStream
-from crowrudder_core.forecast import _outlook
-from crowrudder_daemon.fleet.ports import AnswerMark
+from crowrudder_core.forecast import _upstream_forecast
+from crowrudder_daemon.fleet.ports import ResponseMetadata
 from crowrudder_daemon.fleet_entry import _attempt
 from crowrudder_daemon.fleet_entry._attempt import Attempt
 from crowrudder_daemon.fleet_entry._attempt_log import log_fields
@@ -20,11 +20,11 @@
 from crowrudder_daemon.http import WireHead
 from support.aio import run
 from support.fleet_checks import (
+    announce_second_version,
     ask_model,
     checked,
     fault,
-    hold_back,
-    name_second,
+    refuse_requests,
 )
 
 HEAD = WireHead(status=200, headers=())
@@ -38,12 +38,12 @@
         return self.now
 
 
-class Outlook:
+class UpstreamForecast:
     """An outlook that accepts every update on its upstream."""
 
     upstream = SimpleNamespace(id='e0', address='a')
 
-    def word_age_s(self, now):
+    def load_report_age_s(self, now):
         return 0.1
 
     def is_changing(self, now):
@@ -92,11 +92,11 @@
 
 
 def create_attempt(conn, timeouts):
-    outlook = Outlook()
+    forecast = UpstreamForecast()
     dialect = SimpleNamespace(
-        request_for=lambda *_: None,
-        mark_of=lambda _: AnswerMark(
-            is_vouched=True, not_run=False, request_id=''
+        upstream_request=lambda *_: None,
+        response_metadata=lambda _: ResponseMetadata(
+            is_authentic=True, not_run=False, request_id=''
         ),
     )
     parts: dict[str, Any] = {
@@ -104,8 +104,8 @@
             request_id='a', prompt_tokens=1, resume_after='', model='m'
         ),
         'choice': SimpleNamespace(
-            outlook=outlook,
-            outlooks=(outlook,),
+            forecast=forecast,
+            forecasts=(forecast,),
             weights=2,
             first_s=0.1,
             path=None,
@@ -128,7 +128,7 @@
         urgency=None,
         timeouts=timeouts,
         dispatch=Dispatch(
-            repeatable=True, most_sends=2, limit_at=conn.clock.now + 9
+            repeatable=True, max_sends=2, deadline_at=conn.clock.now + 9
         ),
         events=EventStream(),
         is_stream=True,
@@ -204,13 +204,13 @@
         self, caplog, monkeypatch
     ):
         # The agent's load report is sent only once here.
-        monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
+        monkeypatch.setattr(_upstream_forecast, 'LOAD_REPORT_TTL_S', 30)
 
         async def check(world):
-            name_second(world, 'e1', end_s=1.6)
+            announce_second_version(world, 'e1', end_s=1.6)
             await world.ready()
             world.replicas['e0'].faults.switch_on(fault('hang', None))
-            hold_back(world, 'e1')
+            refuse_requests(world, 'e1')
             await ask_model(world)
 
         with caplog.at_level('INFO'):
--- a/tests/fleet/test_crashing_request.py
+++ b/tests/fleet/test_crashing_request.py
@@ -5,11 +5,15 @@
 import asyncio
 
 from crowrudder_core.quarantine import request_digest
-from crowrudder_model.messages import LifeEnd, SuspectNews, SuspectWord
+from crowrudder_model.messages import (
+    IncarnationEnd,
+    SuspicionReport,
+    SuspicionUpdate,
+)
 from crowrudder_standins.fleet_replica import stream_of
 from support.crashing import AGENT_SEES_S, Crashes
 from support.fleet import HOST
-from support.fleet_checks import checked, spoil_all
+from support.fleet_checks import checked, inject_fault_all
 
 FATAL_BODY = b'a fatal body'
 SEND_COUNT = 12
@@ -98,8 +102,8 @@
         customer='shop',
         body=request_body,
     )
-    ends = tuple(LifeEnd(f'gone-{number}', 100) for number in range(3))
-    return SuspectNews((SuspectWord(digest, ends),))
+    ends = tuple(IncarnationEnd(f'gone-{number}', 100) for number in range(3))
+    return SuspicionUpdate((SuspicionReport(digest, ends),))
 
 
 class TestQuarantineByAnotherEntry:
@@ -107,14 +111,14 @@
 
     def test_a_waiting_attempt_is_cancelled_and_answered_at_once(self):
         async def check(world):
-            spoil_all(world, 'e', 'hang', None)
+            inject_fault_all(world, 'e', 'hang', None)
             sending = asyncio.ensure_future(
                 world.ask('/draft/x', method='POST', body=FATAL_BODY)
             )
             await world.until(lambda: has_runs(world))
             peer_ip = world.nodes[1].ip
             await world.until(lambda: knows_peer(world, peer_ip))
-            world.entries[0].suspects_heard(
+            world.entries[0].suspects_received(
                 peer_ip, quarantine_update(FATAL_BODY)
             )
             answer = await sending
@@ -125,7 +129,7 @@
 
     def test_an_update_from_a_host_that_is_no_entry_is_ignored(self):
         async def check(world):
-            world.entries[0].suspects_heard(
+            world.entries[0].suspects_received(
                 '127.0.0.99', quarantine_update(FATAL_BODY)
             )
             answer = await world.ask('/draft/x', method='POST', body=FATAL_BODY)
--- a/tests/fleet/test_directory.py
+++ b/tests/fleet/test_directory.py
@@ -5,11 +5,11 @@
 from crowrudder_platform import PlatformCallers
 
 from crowrudder_daemon.fleet_entry._directory import MAX_ADDRESSES, Directory
-from crowrudder_model.messages import MemberWord
+from crowrudder_model.messages import MemberStatus
 
 
 def member(number, **more):
-    return MemberWord(
+    return MemberStatus(
         ip=f'10.0.0.{number}',
         role='entry',
         incarnation='1',
--- a/tests/fleet/test_end_guard.py
+++ b/tests/fleet/test_end_guard.py
@@ -9,7 +9,7 @@
 from attrs import define
 
 from crowrudder_core.catalog import Releases
-from crowrudder_core.transfer import chunks_of, full
+from crowrudder_core.transfer import chunks_of_layers, full
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet_agent._end_guard import EndGuard
 from crowrudder_model.fleet import LayerRange
@@ -24,12 +24,12 @@
 class Version:
     """A version as a host holds it."""
 
-    at_hand: int
+    servable_chunks: int
     count: int = CHUNKS
 
     @property
     def held(self):
-        return self.at_hand
+        return self.servable_chunks
 
 
 def guard(versions, *, named_ago_s):
@@ -37,12 +37,12 @@
     releases = Releases(WINDOW_S)
     for version, ago_s in named_ago_s.items():
         releases.on_named('m', version, age_s=ago_s, now=clock_s())
-    own = chunks_of(OWN, layers=FIGURES.layers, chunks=CHUNKS)
+    own = chunks_of_layers(OWN, layers=FIGURES.layers, chunks=CHUNKS)
     parts: dict[str, Any] = {
         'view': SimpleNamespace(releases=releases),
         'watch': SimpleNamespace(whole=1),
         'library': SimpleNamespace(
-            shelf=SimpleNamespace(transfers=versions),
+            versions=SimpleNamespace(transfers=versions),
             part=lambda *_: SimpleNamespace(chunks=own),
         ),
         'loader': None,
--- a/tests/fleet/test_end_races.py
+++ b/tests/fleet/test_end_races.py
@@ -11,7 +11,7 @@
 import pytest
 
 from crowrudder_core.catalog import Releases
-from crowrudder_core.forecast import _outlook
+from crowrudder_core.forecast import _upstream_forecast
 from crowrudder_core.transfer import full
 from crowrudder_daemon._clock import clock_s
 from crowrudder_daemon.fleet.ports import EngineReading
@@ -102,9 +102,9 @@
             releases.on_named('m', 2, age_s=9.5, now=clock_s())
             releases.on_named('m', 3, age_s=third_age_s, now=clock_s())
             loader = stub(is_loading=False, load_layers=AsyncMock())
-            shelf = {'m@2': held(second), 'm@3': held(third)}
+            versions = {'m@2': held(second), 'm@3': held(third)}
             guarding = asyncio.ensure_future(
-                guard_of(releases, loader, shelf).guard()
+                guard_of(releases, loader, versions).guard()
             )
             await asyncio.sleep(0.2)
             guarding.cancel()
@@ -207,13 +207,13 @@
         all of its CPU time and its event loop was late.
         """
         rounds = []
-        pursue = WeightsKeeper._pursue
+        pursue = WeightsKeeper._reconcile
 
         async def counted(keeper, goal):
             rounds.append(goal)
             await pursue(keeper, goal)
 
-        monkeypatch.setattr(WeightsKeeper, '_pursue', counted)
+        monkeypatch.setattr(WeightsKeeper, '_reconcile', counted)
 
         async def check(world):
             world.name_version(2)
@@ -239,7 +239,7 @@
         there is none, and its end counts as long past. Streams over several
         engines broke off although most would have ended within the drain.
         """
-        monkeypatch.setattr(_loader, 'LEAVE_PATHS_S', 0)
+        monkeypatch.setattr(_loader, 'LEAVE_PIPELINES_S', 0)
 
         async def check():
             part = LayerRange(0, 4)
@@ -267,7 +267,7 @@
         end known at the choice, so a request started on an old version after
         its end and was not cancelled.
         """
-        monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
+        monkeypatch.setattr(_upstream_forecast, 'LOAD_REPORT_TTL_S', 30)
 
         async def check(world):
             (entry,) = world.entries
@@ -341,7 +341,7 @@
         view=stub(releases=releases, config=cfg),
         watch=fake_watch(FakeEngine(EngineReading(weights=1, layers=ALL))),
         library=stub(
-            shelf=stub(transfers=transfers),
+            versions=stub(transfers=transfers),
             part=lambda *_: LayerPart(),
         ),
         loader=loader,
@@ -368,9 +368,9 @@
     """Return a transfer that holds these chunks (bits)."""
     return stub(
         count=CHUNKS,
-        at_hand=chunks,
+        servable_chunks=chunks,
         held=chunks,
         dropped=False,
-        assert_whole=lambda: None,
+        assert_complete=lambda: None,
         chunk=lambda _index: b'chunk',
     )
--- a/tests/fleet/test_entry.py
+++ b/tests/fleet/test_entry.py
@@ -8,7 +8,7 @@
 
 from crowrudder_standins.fleet_replica import body_of, seal_of, stream_of
 from support.fleet import KEY, route
-from support.fleet_checks import all_runs, checked, fault, spoil_all
+from support.fleet_checks import all_runs, checked, fault, inject_fault_all
 
 
 class TestCompleteAnswers:
@@ -54,7 +54,7 @@
         """
 
         async def check(world):
-            spoil_all(world, 'e', how)
+            inject_fault_all(world, 'e', how)
             answer = await world.ask('/draft/x', method='POST', request_id='a')
             assert answer.cut
             assert stream_of('a').startswith(answer.body)
@@ -81,14 +81,14 @@
 
     def test_a_stream_that_may_not_resume_is_truncated_and_runs_once(self):
         async def check(world):
-            spoil_all(world, 'e', 'cut')
+            inject_fault_all(world, 'e', 'cut')
             answer = await world.ask('/once/x', method='POST', request_id='a')
             assert answer.cut
             assert len(all_runs(world, 'a')) == 1
 
         checked(check)
 
-    @pytest.mark.usual_patience
+    @pytest.mark.default_timeouts
     def test_waits_for_a_silent_upstream_without_retry_budget(self):
         """Guards against abandoning the last attempt that is possible.
 
@@ -99,14 +99,14 @@
         """
 
         async def check(world):
-            spoil_all(world, 'e', 'slow', None, amount=1.2)
+            inject_fault_all(world, 'e', 'slow', None, amount=1.2)
             answer = await world.ask('/draft/x', method='POST', request_id='a')
             assert answer.body == stream_of('a')
             assert len(all_runs(world, 'a')) == 1
 
         checked(check, entries=1, bounds={'retry_share': 0, 'retry_extra': 0})
 
-    @pytest.mark.usual_patience
+    @pytest.mark.default_timeouts
     def test_retries_a_silent_upstream_elsewhere(self):
         async def check(world):
             world.replicas['e0'].faults.switch_on(fault('hang', None))
@@ -129,7 +129,7 @@
         """
 
         async def check(world):
-            spoil_all(world, 'p', how)
+            inject_fault_all(world, 'p', how)
             answer = await world.ask('/notice/x', method='POST', request_id='a')
             assert answer.status == 502
             assert len(all_runs(world, 'a')) == 1
@@ -149,7 +149,7 @@
 
     def test_a_refusal_by_all_upstreams_has_a_retry_after(self):
         async def check(world):
-            spoil_all(world, 'p', 'full', None)
+            inject_fault_all(world, 'p', 'full', None)
             answer = await world.ask('/notice/x', method='POST', request_id='a')
             assert answer.status == 503
             assert answer.retry_after_s >= 0
@@ -159,7 +159,7 @@
 
     def test_forwards_an_error_of_the_upstream(self):
         async def check(world):
-            spoil_all(world, 'p', 'fail')
+            inject_fault_all(world, 'p', 'fail')
             answer = await world.ask('/notice/x', method='POST', request_id='a')
             assert (answer.status, answer.body) == (500, b'failed')
             assert answer.header('x-replica-seal')
@@ -174,7 +174,7 @@
             'lost',
             'cut',
             'fail',
-            pytest.param('hang', marks=pytest.mark.usual_patience),
+            pytest.param('hang', marks=pytest.mark.default_timeouts),
             'unvouched',
         ],
     )
@@ -189,7 +189,7 @@
 
     def test_is_sent_no_more_often_than_its_route_allows(self):
         async def check(world):
-            spoil_all(world, 'p', 'lost', None)
+            inject_fault_all(world, 'p', 'lost', None)
             answer = await world.ask('/read/x', request_id='a')
             assert answer.status == 502
             assert len(all_runs(world, 'a')) == 2
@@ -200,7 +200,7 @@
 class TestCrossedAnswers:
     def test_discards_an_answer_to_another_request(self):
         async def check(world):
-            spoil_all(world, 'p', 'crossed')
+            inject_fault_all(world, 'p', 'crossed')
             answer = await world.ask('/notice/x', method='POST', request_id='a')
             assert answer.status == 200
             assert answer.body == body_of('a')
@@ -209,7 +209,7 @@
 
     def test_discards_a_duplicate_answer(self):
         async def check(world):
-            spoil_all(world, 'p', 'extra', None)
+            inject_fault_all(world, 'p', 'extra', None)
             for number in range(8):
                 answer = await world.ask(
                     '/notice/x', method='POST', request_id=f'a{number}'
@@ -222,7 +222,7 @@
 class TestTimes:
     def test_a_silent_once_only_request_ends_at_its_routes_timeout(self):
         async def check(world):
-            spoil_all(world, 'p', 'hang', None)
+            inject_fault_all(world, 'p', 'hang', None)
             loop = asyncio.get_running_loop()
             began_at = loop.time()
             answer = await world.ask('/notice/x', method='POST', request_id='a')
@@ -236,7 +236,7 @@
 
     def test_ends_before_the_deadline_of_its_caller(self):
         async def check(world):
-            spoil_all(world, 'p', 'hang', None)
+            inject_fault_all(world, 'p', 'hang', None)
             answer = await world.ask(
                 '/notice/x',
                 method='POST',
@@ -249,7 +249,7 @@
 
     def test_a_request_ends_when_its_caller_leaves(self):
         async def check(world):
-            spoil_all(world, 'e', 'slow', None, amount=3.0)
+            inject_fault_all(world, 'e', 'slow', None, amount=3.0)
             asking = asyncio.ensure_future(
                 world.ask('/draft/x', method='POST', request_id='a')
             )
@@ -311,7 +311,7 @@
         """One log line shows whether the entry or an upstream is slow."""
 
         async def check(world):
-            spoil_all(world, 'e', 'slow', amount=0.3)
+            inject_fault_all(world, 'e', 'slow', amount=0.3)
             await world.ask('/draft/x', method='POST', request_id='a')
 
         with caplog.at_level('INFO'):
@@ -324,7 +324,7 @@
         assert 0 <= line.sent_s <= line.took_s - 0.29
 
 
-class TestComingBack:
+class TestRetryAfter:
     """The ``Retry-After`` of refusals."""
 
     def test_retry_after_outlasts_an_outage(self):
--- a/tests/fleet/test_entry_changes.py
+++ b/tests/fleet/test_entry_changes.py
@@ -13,7 +13,7 @@
     all_runs,
     checked,
     fault,
-    spoil_all,
+    inject_fault_all,
 )
 
 
@@ -109,7 +109,7 @@
         checked(check)
 
 
-class TestSecondLife:
+class TestNewIncarnation:
     def test_a_load_report_reveals_a_restart_under_the_same_name(self):
         """Guards against requests to an engine that has lost its weights.
 
@@ -160,7 +160,7 @@
         async def check(world):
             first, second = world.entries
             await world.until(lambda: len(second.peers.entries()) == 2)
-            spoil_all(world, 'e', 'slow', None, amount=0.5)
+            inject_fault_all(world, 'e', 'slow', None, amount=0.5)
             asking = asyncio.ensure_future(
                 world.ask('/draft/x', method='POST', request_id='a')
             )
--- a/tests/fleet/test_entry_versions.py
+++ b/tests/fleet/test_entry_versions.py
@@ -5,21 +5,21 @@
 import asyncio
 import json
 
-from crowrudder_core.forecast import _outlook
+from crowrudder_core.forecast import _upstream_forecast
 from crowrudder_daemon._clock import clock_s
-from crowrudder_daemon.fleet._records import RecordsCame
+from crowrudder_daemon.fleet._records import RecordsReceived
 from crowrudder_model.messages import EngineLoad, PublishedItem
 from crowrudder_standins.fleet_replica import stream_of
 from support.fleet_checks import (
+    announce_second_version,
     ask_model,
     checked,
     fault,
-    hold_back,
-    name_second,
+    refuse_requests,
 )
 
 
-class TestPaths:
+class TestPipelines:
     def test_engines_with_partial_versions_serve_as_a_pipeline(self):
         """Guards against refusals although all layers are available.
 
@@ -96,9 +96,9 @@
                 EngineLoad(
                     address=world.addresses[f'e{number}'],
                     reachable=True,
-                    part_version=version,
-                    part_first=layers[0],
-                    part_end=layers[1],
+                    partial_version=version,
+                    first_layer=layers[0],
+                    end_layer=layers[1],
                 ),
             )
 
@@ -145,7 +145,7 @@
         checked(check)
 
 
-class TestEndsOfVersions:
+class TestVersionEnds:
     """An old version ends while requests wait at engines that still hold it."""
 
     def test_a_request_that_has_not_begun_is_retried_elsewhere(
@@ -159,18 +159,18 @@
         version 1 as late as 8.3 s after version 2 was announced.
         """
         # The agent's load report is sent only once here.
-        monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
+        monkeypatch.setattr(_upstream_forecast, 'LOAD_REPORT_TTL_S', 30)
 
         async def check(world):
-            name_second(world, 'e1', end_s=3)
+            announce_second_version(world, 'e1', end_s=3)
             await world.ready()
             world.replicas['e0'].faults.switch_on(fault('hang', None))
-            hold_back(world, 'e1')
+            refuse_requests(world, 'e1')
             answer = asyncio.ensure_future(ask_model(world))
             await world.until(lambda: has_own_request(world, 'e0'))
-            hold_back(world, 'e1', is_changing=False)
+            refuse_requests(world, 'e1', is_changing=False)
             assert (await answer).body == stream_of('a')
-            (first,) = [each for each in outlooks(world) if each['id'] == 'e0']
+            (first,) = [each for each in forecasts(world) if each['id'] == 'e0']
             assert not first['avoided']
 
         checked(check, entries=1)
@@ -184,16 +184,16 @@
         head had to arrive in time, the request would be cancelled 0.9 s too
         late and begin on an old version after its end.
         """
-        monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
+        monkeypatch.setattr(_upstream_forecast, 'LOAD_REPORT_TTL_S', 30)
 
         async def check(world):
-            name_second(world, 'e1', end_s=2)
+            announce_second_version(world, 'e1', end_s=2)
             await world.ready()
             world.replicas['e0'].faults.switch_on(fault('head_alone', None))
-            hold_back(world, 'e1')
+            refuse_requests(world, 'e1')
             answer = asyncio.ensure_future(ask_model(world))
             await world.until(lambda: has_own_request(world, 'e0'))
-            hold_back(world, 'e1', is_changing=False)
+            refuse_requests(world, 'e1', is_changing=False)
             assert (await answer).body == stream_of('a')
 
         checked(check, entries=1)
@@ -209,9 +209,9 @@
         """
 
         async def check(world):
-            name_second(world, 'e1', end_s=0.8)
+            announce_second_version(world, 'e1', end_s=0.8)
             await world.ready()
-            hold_back(world, 'e1')
+            refuse_requests(world, 'e1')
             answer = await ask_model(world)
             assert answer.status == 503
             assert not world.replicas['e0'].runs
@@ -222,9 +222,9 @@
         """At a full engine a request waits up to a second before it begins."""
 
         async def check(world):
-            name_second(world, 'e1', end_s=1.2)
+            announce_second_version(world, 'e1', end_s=1.2)
             await world.ready()
-            hold_back(world, 'e1')
+            refuse_requests(world, 'e1')
             answer = await ask_model(world, path='/once/x')
             assert answer.status == 503
             assert not world.replicas['e0'].runs
@@ -234,7 +234,7 @@
 
 class TestUnknownAges:
     def test_an_engine_stays_in_use_after_a_platform_outage(self):
-        """Test the effect of `StoreReading.unknown_age_s` on a caller."""
+        """Test the effect of `StoreReadPolicy.unknown_age_s` on a caller."""
 
         async def check(world):
             task = world.entries[0].catalog
@@ -245,8 +245,10 @@
                 revision=task.catalog.revision + 1,
                 payload=json.dumps({'model': 'm', 'version': 2}).encode(),
             )
-            task.on_records_came(
-                RecordsCame((announced,), announced.revision, False, 'a peer')
+            task.on_records_received(
+                RecordsReceived(
+                    (announced,), announced.revision, False, 'a peer'
+                )
             )
             assert (await ask_model(world)).status == 200
 
@@ -266,8 +268,8 @@
             await world.add_entry(1, version_s=8)
             await world.ready()
             task = world.entries[0].catalog
-            task.on_records_came(
-                RecordsCame(
+            task.on_records_received(
+                RecordsReceived(
                     tuple(task.catalog.items()),
                     task.catalog.revision,
                     True,
@@ -292,9 +294,9 @@
         checked(check, entries=1, bounds={'version_s': 8})
 
 
-def outlooks(world):
+def forecasts(world):
     return world.entries[0].upstreams.status()
 
 
 def has_own_request(world, name):
-    return any(each['own'] for each in outlooks(world) if each['id'] == name)
+    return any(each['own'] for each in forecasts(world) if each['id'] == name)
--- a/tests/fleet/test_late_sends.py
+++ b/tests/fleet/test_late_sends.py
@@ -4,13 +4,13 @@
 
 import asyncio
 
-from crowrudder_core.forecast import _outlook
+from crowrudder_core.forecast import _upstream_forecast
 from crowrudder_daemon._clock import clock_s
 from crowrudder_model.messages import EngineLoad
 from support.fleet_checks import checked, fault
 
 
-class TestSecondLook:
+class TestDeadlineAfterConnecting:
     def test_checks_the_time_to_begin_again_after_connecting(self, monkeypatch):
         """Guards against a send just before the version's end.
 
@@ -20,7 +20,7 @@
         left, and begin on the old version after its end.
         """
         # The agent's load report is sent only once here.
-        monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
+        monkeypatch.setattr(_upstream_forecast, 'LOAD_REPORT_TTL_S', 30)
 
         async def check(world):
             announce_second_version(world, end_s=1.6)
@@ -34,7 +34,7 @@
         checked(check, entries=1)
 
 
-class TestNotMovable:
+class TestNotRetryable:
     def test_a_request_that_may_not_be_retried_is_cancelled_too(
         self, monkeypatch
     ):
@@ -46,7 +46,7 @@
         retryable requests were cancelled, it would begin after the end: 1.6 s
         is not enough for every queue.
         """
-        monkeypatch.setattr(_outlook, 'WORD_LIVE_S', 30)
+        monkeypatch.setattr(_upstream_forecast, 'LOAD_REPORT_TTL_S', 30)
 
         async def check(world):
             announce_second_version(world, end_s=2.4)
@@ -99,7 +99,7 @@
     return await world.ask(path, method='POST', request_id='a', X_Model='m')
 
 
-class TestOverdueWord:
+class TestOverdueLoadReport:
     """Guards against sends over a link that delays all traffic for seconds."""
 
     def test_an_upstream_with_an_overdue_load_report_gets_nothing_near_the_end(
--- a/tests/fleet/test_load_relay.py
+++ b/tests/fleet/test_load_relay.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from crowrudder_core.forecast import Outlook
+from crowrudder_core.forecast import UpstreamForecast
 from crowrudder_core.membership import relays
 from crowrudder_daemon.fleet_entry import _load_relay
 from crowrudder_daemon.fleet_entry._load_relay import LoadRelay
 from crowrudder_model import encode_message
-from crowrudder_model.fleet import Node, NodePlace, Upstream
-from crowrudder_model.messages import EngineLoad, LoadBatch, MemberWord
+from crowrudder_model.fleet import Node, NodeLocation, Upstream
+from crowrudder_model.messages import EngineLoad, LoadBatch, MemberStatus
 
 REGIONS = ('a', 'b', 'c')
 ETHERNET_BYTES = 1472
 ENTRIES = [
-    MemberWord(
+    MemberStatus(
         ip=f'10.0.0.{number}',
         role='entry',
         incarnation='1',
@@ -41,7 +41,7 @@
         far = [entry.ip for entry in ENTRIES if entry.region != self._region]
         return near, far
 
-    def tell(self, datagram, ips):
+    def send(self, datagram, ips):
         self.sent.append((datagram, list(ips)))
 
 
@@ -58,7 +58,9 @@
 
 def relay_at(ip, region):
     peers: Any = Peers(region)
-    node = Node(host='h', role='entry', ip=ip, place=NodePlace(region=region))
+    node = Node(
+        host='h', role='entry', ip=ip, place=NodeLocation(region=region)
+    )
     return LoadRelay(node, peers), peers
 
 
@@ -123,7 +125,9 @@
         the report that arrived last counted as the newest, entries of other
         regions would send it requests.
         """
-        outlook = Outlook(Upstream(id='i', service='s', address='10.1.0.0:80'))
-        outlook.on_load(load(is_changing=True), now=10.0)
-        outlook.on_load(load(), now=9.8)
-        assert outlook.is_changing(10.0)
+        forecast = UpstreamForecast(
+            Upstream(id='i', service='s', address='10.1.0.0:80')
+        )
+        forecast.on_load(load(is_changing=True), now=10.0)
+        forecast.on_load(load(), now=9.8)
+        assert forecast.is_changing(10.0)
--- a/tests/fleet/test_messages_by_size.py
+++ b/tests/fleet/test_messages_by_size.py
@@ -18,7 +18,7 @@
     PeersTask,
 )
 from crowrudder_model import decode_datagram
-from crowrudder_model.fleet import Node, NodePlace
+from crowrudder_model.fleet import Node, NodeLocation
 from crowrudder_model.messages import Heartbeat
 
 REGIONS = ('a', 'b')
@@ -32,7 +32,7 @@
 class IgnoringListener:
     """Ignores heartbeats."""
 
-    def peer_heard(self, ip, revision, confirmed_s):
+    def peer_report_received(self, ip, revision, confirmed_s):
         pass
 
 
@@ -68,7 +68,7 @@
         statuses = [each.roster.own for each in self.tasks.values()]
         for task in self.tasks.values():
             for status in statuses[:entries]:
-                task.roster.on_word(status, 0, now=self.now)
+                task.roster.on_status(status, 0, now=self.now)
         self.sent: Counter[str] = Counter()
         self.received: Counter[str] = Counter()
 
@@ -85,7 +85,7 @@
             host=ip,
             role=role,
             ip=ip,
-            place=NodePlace(region=region),
+            place=NodeLocation(region=region),
             peer_ports=(7700, 7710),
             seeds=('10.0.0.0', '10.0.0.1', '10.0.0.2'),
         )
--- a/tests/fleet/test_own_settings.py
+++ b/tests/fleet/test_own_settings.py
@@ -67,7 +67,7 @@
             assert f'| fleet | {key} | {shown} |' in page
 
 
-class TestFrame:
+class TestProcessSettings:
     def test_drain_ends_before_the_kill(self):
         node = Node(
             host='a',
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -9,8 +9,8 @@
 from crowrudder_daemon.fleet._peers_task import HeartbeatDue, PeersTask
 from crowrudder_daemon.metrics import Metrics
 from crowrudder_model import decode_datagram
-from crowrudder_model.fleet import Node, NodePlace
-from crowrudder_model.messages import Heartbeat, MemberWord
+from crowrudder_model.fleet import Node, NodeLocation
+from crowrudder_model.messages import Heartbeat, MemberStatus
 
 REGIONS = ('a', 'b', 'c')
 MAX_DATAGRAMS = 8
@@ -35,27 +35,27 @@
     def __init__(self):
         self.loads = []
 
-    def peer_heard(self, ip, revision, confirmed_s):
+    def peer_report_received(self, ip, revision, confirmed_s):
         pass
 
-    def load_heard(self, load):
+    def load_received(self, load):
         self.loads.append(load)
 
-    def loads_heard(self, batch):
+    def loads_received(self, batch):
         self.loads += batch.loads
 
-    def chunks_heard(self, ip, news):
+    def chunks_received(self, ip, news):
         pass
 
-    def suspects_heard(self, ip, news):
+    def suspects_received(self, ip, news):
         pass
 
-    def limits_heard(self, ip, news):
+    def limits_received(self, ip, news):
         pass
 
 
 def entry_status(number):
-    return MemberWord(
+    return MemberStatus(
         ip=f'10.0.0.{number}',
         role='entry',
         incarnation=str(number),
@@ -72,7 +72,7 @@
         host='h',
         role=role,
         ip='10.0.0.0',
-        place=NodePlace(region='a'),
+        place=NodeLocation(region='a'),
         peer_ports=(7700, 7710),
         seeds=('10.0.0.1', '10.0.0.2'),
     )
@@ -125,13 +125,17 @@
         assert len({ip for ip, _ in transport.sent}) == 7
 
 
-class TestIntroductions:
+class TestStatusRequests:
     def test_entry_known_only_through_others_is_asked_for_its_status(self):
         task, transport = make_task('entry', 3)
         other, _ = make_task('entry', 0)
-        other.roster.on_word(entry_status(9), 0, now=1.0e9)
-        sightings = other.roster.sightings(task._random, now=1.0e9)
-        heartbeat = Heartbeat(word=entry_status(1), sightings=sightings)
+        other.roster.on_status(entry_status(9), 0, now=1.0e9)
+        last_seen_entries = other.roster.last_seen_entries(
+            task._random, now=1.0e9
+        )
+        heartbeat = Heartbeat(
+            word=entry_status(1), last_seen_entries=last_seen_entries
+        )
         task._apply_heartbeat(heartbeat, entry_status(1).ip)
         ((ip, request),) = transport.sent
         assert ip == entry_status(9).ip
--- a/tests/fleet/test_record_bytes.py
+++ b/tests/fleet/test_record_bytes.py
@@ -15,13 +15,13 @@
 from crowrudder_daemon.fleet import CatalogTask
 from crowrudder_daemon.fleet._records import (
     PeerAhead,
-    RecordsCame,
+    RecordsReceived,
     platform_records,
 )
 from crowrudder_daemon.http import ConnectionPool
 from crowrudder_daemon.rpc import PeerClient
 from crowrudder_model.fleet import Node
-from crowrudder_model.messages import ChangesAsk, PublishedItem
+from crowrudder_model.messages import ChangesRequest, PublishedItem
 from crowrudder_model.rpc import CHANGES
 from support.counted import LINK_IP, CountedLink, counted
 from support.fleet import PEER_PORTS, ROUTES, route, runtime_of
@@ -89,7 +89,7 @@
         """Apply all records of the platform, as at the start of a process."""
         source = PlatformStore(world.store_address, ConnectionPool())
         listing = await source.list_all()
-        self.on_records_came(platform_records(listing, is_whole=True))
+        self.on_records_received(platform_records(listing, is_whole=True))
 
     def start(self) -> None:
         """Handle messages, without reading the platform."""
@@ -158,7 +158,7 @@
         checked(check)
 
 
-class TestForms:
+class TestDeflatedRecords:
     def test_record_that_cant_be_inflated_is_refused_alone(self, caplog):
         """It is refused like any invalid record; the others are applied."""
 
@@ -179,8 +179,8 @@
                     payload=b'{"model": "m", "version": 2}',
                 )
                 caplog.clear()
-                task.on_records_came(
-                    RecordsCame((corrupt, named), revision, False, 'a peer')
+                task.on_records_received(
+                    RecordsReceived((corrupt, named), revision, False, 'a peer')
                 )
                 refused = [
                     line for line in caplog.records if line.levelname == 'ERROR'
@@ -214,7 +214,7 @@
             async with run_receiving_catalog(world) as task:
                 await world.ready()
                 reply = await task._client.call(
-                    task.link.address, CHANGES, ChangesAsk(0)
+                    task.link.address, CHANGES, ChangesRequest(0)
                 )
                 payloads = {each.key: each.payload for each in reply.items}
                 published = world.store.records[CONFIG_KEY].value
@@ -235,9 +235,11 @@
                 task.source.decoded.clear()
                 source = PlatformStore(world.store_address, ConnectionPool())
                 listing = await source.list_all()
-                task.on_records_came(platform_records(listing, is_whole=True))
-                task.on_records_came(
-                    RecordsCame(
+                task.on_records_received(
+                    platform_records(listing, is_whole=True)
+                )
+                task.on_records_received(
+                    RecordsReceived(
                         listing.items, listing.through, True, 'platform'
                     )
                 )
--- a/tests/fleet/test_settings_watch.py
+++ b/tests/fleet/test_settings_watch.py
@@ -41,7 +41,7 @@
 @pytest.fixture
 def watch_setup():
     runtime: Any = SimpleNamespace(
-        log=logging.getLogger('test'), reload_asked=asyncio.Event()
+        log=logging.getLogger('test'), reload_requested=asyncio.Event()
     )
     source = FakeSource()
     changes: list[Node] = []
@@ -94,7 +94,7 @@
             task = asyncio.ensure_future(watch.watch())
             await asyncio.sleep(0)
             source.write(evolve(NODE, seeds=()))
-            runtime.reload_asked.set()
+            runtime.reload_requested.set()
             while not changes:  # noqa: ASYNC110
                 await asyncio.sleep(0.001)
             task.cancel()
--- a/tests/fleet/test_version_ends.py
+++ b/tests/fleet/test_version_ends.py
@@ -6,9 +6,9 @@
 
 from crowrudder_core.catalog import Releases
 from crowrudder_daemon._clock import clock_s
-from crowrudder_daemon.fleet._records import RecordsCame
+from crowrudder_daemon.fleet._records import RecordsReceived
 from crowrudder_daemon.fleet._version_ends import VersionEnds
-from crowrudder_model.fleet import NamedVersion
+from crowrudder_model.fleet import TargetVersion
 from crowrudder_model.messages import PublishedItem
 from support.fleet_checks import checked
 
@@ -27,12 +27,12 @@
 class VersionObserver:
     """Receives versions, with ages and times that the test chooses."""
 
-    def __init__(self, free_until=0):
-        self.releases = Releases(WINDOW_S, free_until)
+    def __init__(self, enforced_from=0):
+        self.releases = Releases(WINDOW_S, enforced_from)
         self.ends = VersionEnds(logging.getLogger('test'), self.releases)
 
     def receive(self, version, *, age_s, now, age_by='teller'):
-        named = NamedVersion(model='m', version=version)
+        named = TargetVersion(model='m', version=version)
         ended_at = self.ends.previous_end(named)
         self.releases.on_named('m', version, age_s=age_s, now=now)
         self.ends.log_change(
@@ -59,7 +59,7 @@
         assert line.was_in_s is None
 
     def test_unknown_age_is_logged_as_the_assumed_age(self, caplog):
-        observer = VersionObserver(free_until=1003)
+        observer = VersionObserver(enforced_from=1003)
         with caplog.at_level('INFO'):
             observer.receive(2, age_s=None, now=1000, age_by='nobody')
         (line,) = log_lines(caplog)
@@ -83,7 +83,7 @@
         assert len(log_lines(caplog)) == 1
 
 
-class TestOfARunningEntry:
+class TestRunningEntry:
     """The source of the age, for records that an entry receives."""
 
     def test_assumed_age_is_logged_as_a_guess(self, caplog):
@@ -128,4 +128,6 @@
         payload=b'{"model": "m", "version": %d}' % version,
         age_s=age_s,
     )
-    task.on_records_came(RecordsCame((item,), revision, False, 'a peer'))
+    task.on_records_received(
+        RecordsReceived((item,), revision, False, 'a peer')
+    )
--- a/tests/forecast/test_forecast.py
+++ b/tests/forecast/test_forecast.py
@@ -5,8 +5,13 @@
 
 import pytest
 
-from crowrudder_core.forecast import Candidate, Outlook, Work, choose
-from crowrudder_core.forecast._outlook import SLOWNESS_DECAY_S
+from crowrudder_core.forecast import (
+    Candidate,
+    InFlightRequest,
+    UpstreamForecast,
+    choose,
+)
+from crowrudder_core.forecast._upstream_forecast import SLOWNESS_DECAY_S
 from crowrudder_model.fleet import EngineFigures, Upstream
 from crowrudder_model.messages import EngineLoad
 
@@ -21,20 +26,20 @@
 
 
 def make_outlook(name='a', **load):
-    outlook = Outlook(
+    forecast = UpstreamForecast(
         Upstream(id=name, service='s', address=f'{name}:1', slots=4, weights=1),
     )
-    outlook.on_figures(FIGURES)
+    forecast.on_engine_figures(FIGURES)
     if load:
-        outlook.on_load(
+        forecast.on_load(
             EngineLoad(address=f'{name}:1', reachable=True, **load), now=0
         )
-    return outlook
+    return forecast
 
 
-def choose_best(*outlooks, prompt=1000, now=0.1, **more):
+def choose_best(*forecasts, prompt=1000, now=0.1, **more):
     return choose(
-        [Candidate(outlook=each, **more) for each in outlooks],
+        [Candidate(forecast=each, **more) for each in forecasts],
         prompt=prompt,
         now=now,
         random=random.Random(1),
@@ -55,13 +60,13 @@
     def test_own_requests_count_immediately(self):
         one = make_outlook(running=0)
         before = one.first_s(1000, 0.1)
-        one.on_sent(1, Work(1000, 0.1))
+        one.on_sent(1, InFlightRequest(1000, 0.1))
         assert one.total(0.1) == 1
         assert one.first_s(1000, 0.1) > before
 
     def test_own_requests_in_a_load_report_are_counted_once(self):
         one = make_outlook()
-        one.on_sent(1, Work(1000, 0.0))
+        one.on_sent(1, InFlightRequest(1000, 0.0))
         one.on_load(
             EngineLoad(address='a:1', reachable=True, running=1), now=0.2
         )
@@ -83,18 +88,18 @@
         """
         silent, busy = make_outlook('a'), make_outlook('b', running=3)
         silent.other_entries = 5
-        silent.on_sent(1, Work(1000, 4.9))
+        silent.on_sent(1, InFlightRequest(1000, 4.9))
         assert silent.total(5) == 6
         busy.on_load(
             EngineLoad(address='b:1', reachable=True, running=3), now=5
         )
-        assert choose_best(silent, busy, now=5).outlook is busy
+        assert choose_best(silent, busy, now=5).forecast is busy
 
     def test_late_first_events_raise_the_forecast(self):
         one = make_outlook(running=0)
         usual_s = one.first_s(100, 0)
         for ticket in range(20):
-            one.on_sent(ticket, Work(100, 0))
+            one.on_sent(ticket, InFlightRequest(100, 0))
             one.on_begun(ticket, forecast_s=usual_s, now=4 * usual_s)
             one.on_ended(ticket)
         assert one.first_s(100, 0) > 2 * usual_s
@@ -111,7 +116,7 @@
         one = make_outlook(running=0)
         usual_s = one.first_s(100, 0)
         for ticket in range(20):
-            one.on_sent(ticket, Work(100, 0))
+            one.on_sent(ticket, InFlightRequest(100, 0))
             one.on_begun(ticket, forecast_s=usual_s, now=4 * usual_s)
             one.on_ended(ticket)
         later = 4 * usual_s + 6 * SLOWNESS_DECAY_S
@@ -125,26 +130,26 @@
         chosen = choose_best(
             make_outlook('a', running=4), make_outlook('b', running=1)
         )
-        assert chosen.outlook.upstream.id == 'b'
+        assert chosen.forecast.upstream.id == 'b'
 
     def test_failed_upstream_is_chosen_only_as_a_last_resort(self):
         bad, good = make_outlook('a', running=0), make_outlook('b', running=3)
-        bad.on_bad(now=0, avoid=True)
-        assert choose_best(bad, good).outlook is good
-        assert choose_best(bad).outlook is bad
+        bad.on_failure(now=0, avoid=True)
+        assert choose_best(bad, good).forecast is good
+        assert choose_best(bad).forecast is bad
 
     def test_an_unreachable_engine_is_avoided(self):
         gone, good = make_outlook('a', running=0), make_outlook('b', running=3)
         gone.on_load(EngineLoad(address='a:1', reachable=False), now=0)
-        assert choose_best(gone, good).outlook is good
+        assert choose_best(gone, good).forecast is good
 
     def test_avoidance_grows_with_consecutive_failures(self):
         bad = make_outlook()
-        bad.on_bad(now=0, avoid=True)
+        bad.on_failure(now=0, avoid=True)
         first = bad.avoid_until
-        bad.on_bad(now=first, avoid=True)
+        bad.on_failure(now=first, avoid=True)
         assert bad.avoid_until - first > first
-        bad.on_good(0.1)
+        bad.on_success(0.1)
         assert not bad.is_avoided(first)
 
     def test_failing_upstream_is_less_preferred(self):
@@ -155,8 +160,8 @@
         """
         bad, good = make_outlook('a', running=0), make_outlook('b', running=2)
         for _ in range(8):
-            bad.on_bad(now=0, avoid=False)
-        assert choose_best(bad, good).outlook is good
+            bad.on_failure(now=0, avoid=False)
+        assert choose_best(bad, good).forecast is good
 
     def test_no_candidates_give_no_choice(self):
         assert choose_best() is None
@@ -180,13 +185,13 @@
                 for each in range(24)
             ]
             chosen = choose(
-                [Candidate(outlook=each) for each in engines],
+                [Candidate(forecast=each) for each in engines],
                 prompt=1000,
                 now=0.1,
                 random=rng,
             )
             assert chosen is not None
-            chosen_count[chosen.outlook.upstream.id] += 1
+            chosen_count[chosen.forecast.upstream.id] += 1
         assert max(chosen_count.values()) <= 12
         assert len(chosen_count) >= 8
 
@@ -218,13 +223,13 @@
         """
         stalled, sound = make_outlook('a'), make_outlook('b')
         for _ in range(3):
-            stalled.on_paused()
+            stalled.on_stream_stall()
         for seed in range(20):
             chosen = choose(
-                [Candidate(outlook=stalled), Candidate(outlook=sound)],
+                [Candidate(forecast=stalled), Candidate(forecast=sound)],
                 prompt=1000,
                 now=0.1,
                 random=random.Random(seed),
             )
             assert chosen is not None
-            assert chosen.outlook is sound
+            assert chosen.forecast is sound
--- a/tests/forecast/test_life.py
+++ b/tests/forecast/test_incarnation.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crowrudder_core.forecast import IncarnationTracker, Outlook
+from crowrudder_core.forecast import IncarnationTracker, UpstreamForecast
 from crowrudder_model.fleet import LayerRange, Upstream
 from crowrudder_model.messages import EngineLoad
 
@@ -28,7 +28,7 @@
     )
 
 
-class TestLifeMark:
+class TestIncarnationTracker:
     def test_late_report_of_an_earlier_incarnation_is_not_current(self):
         tracker = IncarnationTracker()
         tracker.apply_record(2000, now=10)
@@ -69,9 +69,9 @@
 
 class TestOutlook:
     def test_new_incarnation_resets_all_state(self):
-        one = Outlook(record(1000))
+        one = UpstreamForecast(record(1000))
         one.on_load(load_report(1000, weights=1, running=4), now=1)
-        one.on_bad(now=1, avoid=True)
+        one.on_failure(now=1, avoid=True)
         one.slowness = 5
         assert one.on_record(record(2000, weights=0), now=1.1)
         assert one.weights(1.1) == 0
@@ -80,7 +80,7 @@
         assert one.slowness == 1
 
     def test_load_report_may_arrive_before_the_record(self):
-        one = Outlook(record(1000))
+        one = UpstreamForecast(record(1000))
         assert one.on_load(load_report(2000, weights=0), now=1)
         one.on_record(record(1000), now=1.05)
         assert one.weights(1.1) == 0
@@ -90,7 +90,7 @@
         assert one.weights(5) == 3
 
     def test_upstream_without_a_start_time_keeps_its_state(self):
-        one = Outlook(record(0))
+        one = UpstreamForecast(record(0))
         assert not one.on_load(load_report(0, weights=2), now=1)
         assert one.weights(1) == 2
         assert one.weights(9) == 1
--- a/tests/forecast/test_measure.py
+++ b/tests/forecast/test_measure.py
@@ -27,7 +27,7 @@
         times = send_request(engine, answer=11)
         engine.clock.run(10)
         model = EngineModel(FIGURES)
-        first_s = model.read_s(900) + model.pass_s(0)
+        first_s = model.prefill_s(900) + model.pass_s(0)
         assert times == pytest.approx([first_s, first_s + 2 * model.pass_s(1)])
 
     def test_full_engine_admits_when_a_slot_is_free(self):
@@ -44,7 +44,7 @@
         assert times[1] == pytest.approx([3 * each for each in times[0]])
 
 
-class TestWays:
+class TestPolicies:
     @pytest.mark.parametrize('case', ['usual', 'high', 'slow'])
     def test_the_forecast_is_no_worse_than_its_baselines(self, case):
         shares = {}
--- a/tests/forecast/test_paths.py
+++ b/tests/forecast/test_pipeline.py
@@ -7,7 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crowrudder_core.forecast import Holder, Outlook, path_from
+from crowrudder_core.forecast import (
+    LayerHolder,
+    UpstreamForecast,
+    build_pipeline,
+)
 from crowrudder_model.fleet import EngineFigures, LayerRange, Upstream
 from crowrudder_model.messages import EngineLoad
 
@@ -16,15 +20,15 @@
 
 def make_holder(number, first, end, region='r'):
     upstream = Upstream(id=f'i{number}', service='s', address=f'a{number}:1')
-    return Holder(
-        outlook=Outlook(upstream),
+    return LayerHolder(
+        forecast=UpstreamForecast(upstream),
         layers=LayerRange(first, end),
         region=region,
     )
 
 
 def build_pipeline_of(*holders, layers=LAYERS):
-    return path_from(
+    return build_pipeline(
         holders[0], holders, layers=layers, random=random.Random(1)
     )
 
@@ -33,11 +37,11 @@
     return EngineLoad(
         address='a:1',
         reachable=True,
-        **{'part_version': 2, 'part_first': 0, 'part_end': 5, **more},
+        **{'partial_version': 2, 'first_layer': 0, 'end_layer': 5, **more},
     )
 
 
-class TestPath:
+class TestPipeline:
     def test_thirds_form_a_pipeline_in_layer_order(self):
         pipeline = build_pipeline_of(
             make_holder(0, 0, 5), make_holder(1, 10, 16), make_holder(2, 5, 10)
@@ -102,11 +106,11 @@
             assert part.layers
 
 
-class TestPart:
+class TestPartialVersion:
     def make_outlook(self):
         figures = EngineFigures(slots=4, step_s=0.01, layers=LAYERS)
-        result = Outlook(Upstream(id='i', service='s', address='a:1'))
-        result.on_figures(figures)
+        result = UpstreamForecast(Upstream(id='i', service='s', address='a:1'))
+        result.on_engine_figures(figures)
         return result
 
     def test_fresh_load_report_gives_a_partial_version_only(self):
--- a/tests/fuzz/test_calls.py
+++ b/tests/fuzz/test_calls.py
@@ -41,21 +41,23 @@
     headers=(('a', 'b'),),
 )
 MESSAGES = (
-    messages.RunUp(attempt=ATTEMPT),
-    messages.RunDown(
+    messages.RunClientMessage(attempt=ATTEMPT),
+    messages.RunServerMessage(
         piece=messages.Piece(request_id='r1', version='v', index=0)
     ),
-    messages.SettleAsk(key=KEY, incarnation='i', next_index=1),
-    messages.TakeAsk(
-        host='h', generation=1, digest='d', edition=messages.ListEdition()
+    messages.SettleRequest(key=KEY, incarnation='i', next_index=1),
+    messages.SnapshotRequest(
+        host='h', generation=1, digest='d', edition=messages.MemberListEdition()
     ),
     messages.Knowledge(
         host='h',
-        bundle=messages.BundlePart(digest='d', revision=1, base='', body=b'x'),
+        bundle=messages.BundleUpdate(
+            digest='d', revision=1, base='', body=b'x'
+        ),
     ),
-    messages.AgesAsk(),
+    messages.AgesRequest(),
     messages.Ages((messages.RecordAge('k', 3, 0.5),)),
-    messages.ChangesAsk(3, takes_deflated=True),
+    messages.ChangesRequest(3, takes_deflated=True),
     messages.Changes(
         through=3,
         items=(
@@ -132,10 +134,10 @@
     await server.start()
     client = PeerClient()
     hello = messages.Hello(
-        sender=messages.ProcessNews(host='h', incarnation='i', beat=1),
+        sender=messages.ProcessStatus(host='h', incarnation='i', beat=1),
         generation=1,
         digest='',
-        edition=messages.ListEdition(),
+        edition=messages.MemberListEdition(),
         read_age_s=0,
     )
     try:
@@ -143,7 +145,9 @@
             await outcome(client.call(peer, EXCHANGE, hello)),
             await outcome(
                 client.open(
-                    peer, REPORTS, messages.ReportAsk(host='h', interval_s=1)
+                    peer,
+                    REPORTS,
+                    messages.ReportRequest(host='h', interval_s=1),
                 ).read()
             ),
         )
--- a/tests/fuzz/test_edges.py
+++ b/tests/fuzz/test_edges.py
@@ -11,7 +11,7 @@
 
 from crowrudder_daemon.entry._handlers import make_application
 from crowrudder_daemon.entry._open_answers import OpenAnswers
-from crowrudder_daemon.entry._requests import SnapshotCame
+from crowrudder_daemon.entry._requests import SnapshotReceived
 from crowrudder_daemon.entry._size_gate import SizeGate
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_model.declared import Customer, Service, bundle_of
@@ -44,15 +44,15 @@
     """Send all hostile calls to one entry at once; return failed checks."""
     async with Path(agents=0) as path:
         (entry,) = path.entries
-        entry.requests.post(SnapshotCame(SNAPSHOT))
+        entry.requests.post(SnapshotReceived(SNAPSHOT))
         await asyncio.sleep(0)
-        most_bytes = entry.runtime.cfg.limits.max_body_bytes
+        max_bytes = entry.runtime.cfg.limits.max_body_bytes
         application = make_application(
             entry.runtime, entry.requests, OpenAnswers()
         )
         server = HTTPServer(
-            SizeGate(application, most_bytes=most_bytes),
-            max_body_size=most_bytes,
+            SizeGate(application, max_bytes=max_bytes),
+            max_body_size=max_bytes,
         )
         sockets = bind_sockets(0, '127.0.0.1')
         server.add_sockets(sockets)
--- a/tests/http/test_connection.py
+++ b/tests/http/test_connection.py
@@ -26,11 +26,11 @@
 async def answer_of(pool, address):
     conn = await pool.take(address, timeout_s=1)
     conn.send(GET)
-    answer = await conn.answer(most_bytes=1000)
+    answer = await conn.answer(max_bytes=1000)
     return conn, answer
 
 
-class TestWholeAnswers:
+class TestCompleteAnswers:
     def test_connection_is_reused(self):
         async def check():
             async with serving([ANSWER, ANSWER]) as server:
@@ -113,7 +113,7 @@
         run(check())
 
 
-class TestCutAnswers:
+class TestTruncatedAnswers:
     @pytest.mark.parametrize('size', [5, 20, 39, len(ANSWER) - 1])
     def test_truncated_answer_is_an_error(self, size):
         async def check():
@@ -157,7 +157,7 @@
         run(check())
 
 
-class TestSurplus:
+class TestSurplusBytes:
     def test_bytes_after_the_answer_close_the_connection(self):
         """A caller got the response to another caller's request.
 
@@ -232,7 +232,7 @@
                         body=body,
                     ),
                 )
-                await conn.answer(most_bytes=1000)
+                await conn.answer(max_bytes=1000)
                 assert not conn.is_sent
                 pool.release(conn, kept_s=None)
                 assert not conn.is_open
@@ -240,7 +240,7 @@
         run(check())
 
 
-class TestTimes:
+class TestTimeouts:
     def test_connection_is_not_reused_near_its_keep_alive_end(self):
         async def check():
             async with serving([ANSWER, ANSWER]) as server:
@@ -271,7 +271,7 @@
         run(check())
 
 
-class TestUnsent:
+class TestUnsentBytes:
     def test_unacknowledged_bytes_are_counted(self):
         """It was not visible that a close is queued behind bytes in transit."""
 
--- a/tests/limits/test_shared_budget.py
+++ b/tests/limits/test_shared_budget.py
@@ -30,7 +30,7 @@
             if is_first:
                 entries[number].on_first('s', now=now)
                 firsts.append(now)
-            elif entries[number].take('s', part=1 / 3, now=now):
+            elif entries[number].take('s', entry_share=1 / 3, now=now):
                 repeats.append(now)
                 since = now - WINDOW_S
                 requests = sum(at >= since for at in firsts)
@@ -39,18 +39,18 @@
 
     def test_checking_spends_nothing(self):
         one = SharedRetryBudget(share=0, extra=2, window_s=WINDOW_S)
-        assert one.has('a', part=1, now=0)
-        assert one.take('a', part=1, now=0)
-        assert not one.has('a', part=1, now=0)
+        assert one.has('a', entry_share=1, now=0)
+        assert one.take('a', entry_share=1, now=0)
+        assert not one.has('a', entry_share=1, now=0)
 
     def test_each_service_has_its_own_budget(self):
         one = SharedRetryBudget(share=0, extra=2, window_s=WINDOW_S)
-        assert one.take('a', part=1, now=0)
-        assert not one.take('a', part=1, now=0)
-        assert one.take('b', part=1, now=0)
+        assert one.take('a', entry_share=1, now=0)
+        assert not one.take('a', entry_share=1, now=0)
+        assert one.take('b', entry_share=1, now=0)
 
     def test_arrivals_older_than_the_window_expire(self):
         one = SharedRetryBudget(share=0, extra=2, window_s=WINDOW_S)
-        assert one.take('a', part=1, now=0)
-        assert not one.take('a', part=1, now=9)
-        assert one.take('a', part=1, now=11)
+        assert one.take('a', entry_share=1, now=0)
+        assert not one.take('a', entry_share=1, now=9)
+        assert one.take('a', entry_share=1, now=11)
--- a/tests/membership/test_list.py
+++ b/tests/membership/test_list.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crowrudder_core.membership import DeltaError, MemberList
-from crowrudder_model.messages import ListEdition, MembersDelta
+from crowrudder_model.messages import MemberListDelta, MemberListEdition
 from support.bundles import fleet, member
 
 OLD = fleet(3)
@@ -34,12 +34,12 @@
     def test_rebuilt_platform_is_followed_after_confirmation(self) -> None:
         """Guards against a fleet that keeps the members from before a rebuild."""
         member_list = list_after((OLD, 900, 0), (NEW, 1, 1))
-        assert not member_list.on_same(5)
+        assert not member_list.on_unchanged(5)
         assert member_list.members == OLD
-        assert member_list.on_same(11)
+        assert member_list.on_unchanged(11)
         assert member_list.members == NEW
         member_list.on_platform(OLD, 2, 12)
-        assert member_list.edition == ListEdition(
+        assert member_list.edition == MemberListEdition(
             epoch=1, revision=2, digest=member_list.edition.digest
         )
 
@@ -54,7 +54,7 @@
         before = list_after((OLD, 900, 0))
         after = list_after((OLD, 900, 0), (NEW, 1, 1), (NEW, 1, 12))
         assert before.offer(after.edition, after.members)
-        assert not after.offer(ListEdition(epoch=0, revision=901), OLD)
+        assert not after.offer(MemberListEdition(epoch=0, revision=901), OLD)
 
 
 class TestDeltas:
@@ -63,7 +63,7 @@
         receiver = list_after((OLD, 1, 0))
         delta = sender.delta_from(receiver.edition.digest)
         assert delta is not None
-        assert delta == MembersDelta(put=NEW[3:], dropped=(NEW[0].host,))
+        assert delta == MemberListDelta(put=NEW[3:], dropped=(NEW[0].host,))
         members = receiver.applied(
             delta, base=receiver.edition.digest, edition=sender.edition
         )
--- a/tests/membership/test_news_machine.py
+++ b/tests/membership/test_news_machine.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from crowrudder_core.membership import MembershipView, OwnWord
-from crowrudder_model.messages import ProcessNews
+from crowrudder_core.membership import MembershipView, OwnStatus
+from crowrudder_model.messages import ProcessStatus
 from support.bundles import fleet
 
 HOSTS = 4
@@ -22,13 +22,13 @@
         self.listed = fleet(HOSTS)
         self.incarnations = 0
         self.views = [self.start(host, beat=0) for host in range(HOSTS)]
-        self.in_flight: list[tuple[int, ProcessNews]] = []
+        self.in_flight: list[tuple[int, ProcessStatus]] = []
         self.last_beats = [0] * HOSTS
 
     def start(self, host: int, *, beat: int) -> MembershipView:
         self.incarnations += 1
         member = self.listed[host]
-        own_status = OwnWord(
+        own_status = OwnStatus(
             member.host, f'life-{self.incarnations}', member.rpc_address, beat
         )
         view = MembershipView(own_status)
@@ -55,7 +55,7 @@
     @rule(sender=hosts, receiver=hosts)
     def send(self, sender: int, receiver: int) -> None:
         view = self.views[sender]
-        sent = view.to_tell(self.listed[receiver].host)
+        sent = view.updates_for(self.listed[receiver].host)
         self.in_flight.extend((receiver, news) for news in sent)
         self.in_flight.append((receiver, view.own.news))
 
@@ -67,7 +67,7 @@
         receiver, news = self.in_flight[index]
         if not duplicated:
             del self.in_flight[index]
-        self.views[receiver].on_news(news)
+        self.views[receiver].on_update(news)
 
     @invariant()
     def own_beat_never_decreases(self) -> None:
@@ -95,10 +95,10 @@
         if view is peer:
             return
         for news in (
-            *view.to_tell(self.listed[receiver].host),
+            *view.updates_for(self.listed[receiver].host),
             view.own.news,
         ):
-            peer.on_news(news)
+            peer.on_update(news)
 
 
 TestNews = News.TestCase
--- a/tests/membership/test_partners.py
+++ b/tests/membership/test_partners.py
@@ -11,14 +11,14 @@
     partners,
     relays,
 )
-from crowrudder_model.messages import MemberWord, Sighting, life_of
+from crowrudder_model.messages import LastSeen, MemberStatus, incarnation_hash
 
 HEARTBEAT_INTERVAL_S = 0.4
 REGIONS = ('a', 'b', 'c')
 
 
 def word(ip, region='a', incarnation='1', started_at=1.0):
-    return MemberWord(
+    return MemberStatus(
         ip=ip,
         role='entry',
         incarnation=incarnation,
@@ -43,7 +43,7 @@
         self.datagrams = 0
         for roster in self.rosters.values():
             for each in words:
-                roster.on_word(each, 0, now=0)
+                roster.on_status(each, 0, now=0)
 
     def send_heartbeats(self, now):
         for ip, roster in self.rosters.items():
@@ -57,7 +57,7 @@
                 self.random,
             )
             for targets, only_region in ((near, None), (far, own)):
-                last_seen = roster.sightings(
+                last_seen = roster.last_seen_entries(
                     self.random, now=now, region=only_region
                 )
                 for target in targets:
@@ -68,9 +68,9 @@
         if target in self.dead:
             return
         receiver = self.rosters[target]
-        receiver.on_word(sender, 0, now=now)
+        receiver.on_status(sender, 0, now=now)
         for sighting in last_seen:
-            receiver.on_sighting(sighting, now=now)
+            receiver.on_last_seen(sighting, now=now)
 
 
 class TestPartners:
@@ -132,11 +132,11 @@
         assert len(relays(words, 'b')) == 2
 
 
-class TestSightings:
+class TestLastSeen:
     def sighting(self, known, age_ms, *, leaving=False):
-        return Sighting(
+        return LastSeen(
             ip=known.ip,
-            life=life_of(known),
+            life=incarnation_hash(known),
             age_ms=age_ms,
             ready=not leaving,
             leaving=leaving,
@@ -144,30 +144,32 @@
 
     def test_newest_last_seen_time_of_an_entry_counts(self):
         roster = Roster(word('a'))
-        roster.on_word(word('b'), 0, now=0)
-        roster.on_sighting(self.sighting(word('b'), 200), now=2)
+        roster.on_status(word('b'), 0, now=0)
+        roster.on_last_seen(self.sighting(word('b'), 200), now=2)
         assert len(roster.entries(now=3)) == 2
         assert math.isclose(
-            roster.sightings(random.Random(1), now=3)[0].age_ms, 1200, abs_tol=1
+            roster.last_seen_entries(random.Random(1), now=3)[0].age_ms,
+            1200,
+            abs_tol=1,
         )
 
     def test_older_last_seen_entry_is_ignored(self):
         roster = Roster(word('a'))
-        roster.on_word(word('b'), 0, now=2)
-        roster.on_sighting(
+        roster.on_status(word('b'), 0, now=2)
+        roster.on_last_seen(
             self.sighting(word('b'), 1000, leaving=True), now=2.5
         )
         assert roster.known(now=2.5)[0].ready
 
     def test_leaving_entry_is_known_through_others(self):
         roster = Roster(word('a'))
-        roster.on_word(word('b'), 0, now=2)
-        roster.on_sighting(self.sighting(word('b'), 10, leaving=True), now=2.5)
+        roster.on_status(word('b'), 0, now=2)
+        roster.on_last_seen(self.sighting(word('b'), 10, leaving=True), now=2.5)
         assert roster.known(now=2.5)[0].leaving
 
     def test_status_of_unknown_entry_is_requested(self):
         roster = Roster(word('a'))
-        assert roster.on_sighting(self.sighting(word('b'), 10), now=2)
+        assert roster.on_last_seen(self.sighting(word('b'), 10), now=2)
         assert not roster.known(now=2)
 
     def test_status_is_requested_for_a_new_incarnation_only(self):
@@ -177,13 +179,13 @@
         incarnation from others refresh the old one that is known here.
         """
         roster = Roster(word('a'))
-        roster.on_word(word('b', incarnation='2', started_at=5.0), 0, now=2)
+        roster.on_status(word('b', incarnation='2', started_at=5.0), 0, now=2)
         newer = self.sighting(word('b', incarnation='3'), 10)
         older = self.sighting(word('b', incarnation='1'), 2000)
-        assert roster.on_sighting(newer, now=2.5)
-        assert not roster.on_sighting(older, now=2.5)
+        assert roster.on_last_seen(newer, now=2.5)
+        assert not roster.on_last_seen(older, now=2.5)
 
     def test_last_seen_entry_of_the_own_process_is_ignored(self):
         roster = Roster(word('a'))
         own = self.sighting(word('a', incarnation='0'), 10)
-        assert not roster.on_sighting(own, now=1)
+        assert not roster.on_last_seen(own, now=1)
--- a/tests/model/test_declared.py
+++ b/tests/model/test_declared.py
@@ -10,7 +10,7 @@
 
 from crowrudder_model._member import Member, MembersError, decode_members
 from crowrudder_model.declared import (
-    MOST_BUNDLE_BYTES,
+    MAX_BUNDLE_BYTES,
     Adapter,
     BundleError,
     Customer,
@@ -90,7 +90,7 @@
 
     def test_over_a_megabyte_is_refused(self) -> None:
         with pytest.raises(BundleError, match='too large'):
-            decode_bundle(b' ' * (MOST_BUNDLE_BYTES + 1))
+            decode_bundle(b' ' * (MAX_BUNDLE_BYTES + 1))
         many = tuple(Model(f'{number:064}') for number in range(16000))
         with pytest.raises(BundleError, match='too large'):
             encode_bundle(evolve(SMALL, models=many))
--- a/tests/model/test_gossip.py
+++ b/tests/model/test_gossip.py
@@ -10,19 +10,19 @@
     encode_message,
 )
 from crowrudder_model.messages import (
-    ChunkNews,
+    ChunkInventory,
     EngineLoad,
-    HeardWord,
+    ForwardedStatus,
     Heartbeat,
-    LifeEnd,
-    LimitNews,
-    LimitWord,
-    MemberWord,
-    SuspectNews,
-    SuspectWord,
+    IncarnationEnd,
+    LimitReport,
+    LimitUpdate,
+    MemberStatus,
+    SuspicionReport,
+    SuspicionUpdate,
 )
 
-STATUS = MemberWord(
+STATUS = MemberStatus(
     ip='10.1.0.40',
     role='entry',
     incarnation='0123456789abcdef',
@@ -36,27 +36,27 @@
     word=STATUS,
     revision=400,
     confirmed_s=0.25,
-    others=tuple(HeardWord(STATUS, 0.5) for _ in range(8)),
+    others=tuple(ForwardedStatus(STATUS, 0.5) for _ in range(8)),
 )
 LOAD = EngineLoad(
     address='10.1.0.43:8001', reachable=True, weights=3, running=16, queued=2
 )
-INVENTORY = ChunkNews(
+INVENTORY = ChunkInventory(
     version='model@3', manifest='f' * 64, chunks=b'\xff' * 6, passes=b''
 )
-SUSPECTS = SuspectNews(
+SUSPECTS = SuspicionUpdate(
     tuple(
-        SuspectWord(
+        SuspicionReport(
             digest=2**64 - 1 - each,
             ends=tuple(
-                LifeEnd(f'i-{number:010x}', 60_000, is_fresh=True)
+                IncarnationEnd(f'i-{number:010x}', 60_000, is_fresh=True)
                 for number in range(4)
             ),
         )
         for each in range(8)
     )
 )
-LIMITS = LimitNews((LimitWord('i-0123456789', 1.6, 250),))
+LIMITS = LimitUpdate((LimitReport('i-0123456789', 1.6, 250),))
 ETHERNET_BYTES = 1472
 
 
@@ -92,7 +92,7 @@
 
     def test_suspicion_report_is_a_tenth_of_a_packet(self):
         """Reports are sent to all entries while upstreams end in succession."""
-        one = SuspectNews(SUSPECTS.words[:1])
+        one = SuspicionUpdate(SUSPECTS.words[:1])
         assert len(encode_message(one)) <= ETHERNET_BYTES / 10
 
     @given(cut=st.integers(0, 200), flip=st.integers(0, 200))
--- a/tests/model/test_messages.py
+++ b/tests/model/test_messages.py
@@ -11,7 +11,12 @@
     decode_message,
     encode_message,
 )
-from crowrudder_model.messages import Final, Piece, RunDown, RunUp
+from crowrudder_model.messages import (
+    Final,
+    Piece,
+    RunClientMessage,
+    RunServerMessage,
+)
 
 
 @frozen(kw_only=True)
@@ -28,7 +33,9 @@
 class TestEnvelope:
     def test_body_returns_the_field_that_is_set(self):
         final = Final(request_id='r', outcome=Outcome.FAILED)
-        down = decode_message(encode_message(RunDown(final=final)), RunDown)
+        down = decode_message(
+            encode_message(RunServerMessage(final=final)), RunServerMessage
+        )
         assert down.body == final
 
     @given(
@@ -44,7 +51,9 @@
             text=text,
             body=body,
         )
-        down = decode_message(encode_message(RunDown(piece=piece)), RunDown)
+        down = decode_message(
+            encode_message(RunServerMessage(piece=piece)), RunServerMessage
+        )
         assert down.piece == piece
 
 
@@ -60,11 +69,11 @@
     @given(payload=st.binary(max_size=60))
     def test_gives_a_message_or_an_error_that_names_the_peer(self, payload):
         try:
-            decode_message(payload, RunUp, peer='10.0.0.1:7')
+            decode_message(payload, RunClientMessage, peer='10.0.0.1:7')
         except MalformedMessageError as exc:
             assert exc.peer == '10.0.0.1:7'
 
     def test_truncated_message_is_refused(self):
-        whole = encode_message(RunDown(final=None))
-        with pytest.raises(MalformedMessageError, match='RunDown'):
-            decode_message(whole[: len(whole) // 2], RunDown)
+        whole = encode_message(RunServerMessage(final=None))
+        with pytest.raises(MalformedMessageError, match='RunServerMessage'):
+            decode_message(whole[: len(whole) // 2], RunServerMessage)
--- a/tests/orders/test_engine_orders.py
+++ b/tests/orders/test_engine_orders.py
@@ -8,9 +8,9 @@
     EngineOrders,
     EngineRead,
     FencingNumber,
-    GiveOrder,
     Loaded,
     Outdated,
+    SendOrder,
     Target,
 )
 
@@ -40,7 +40,7 @@
             fence=self.fence,
         )
 
-    def take(self, order: GiveOrder, wanted: Target) -> bool:
+    def take(self, order: SendOrder, wanted: Target) -> bool:
         if self.checks_fences:
             if order.fence < self.fence:
                 return False
@@ -51,7 +51,7 @@
 
     def reconcile(self, agent: EngineOrders, wanted: Target) -> object:
         decision = agent.on_read(self.read(), wanted)
-        if isinstance(decision, GiveOrder):
+        if isinstance(decision, SendOrder):
             self.take(decision, wanted)
         return decision
 
@@ -116,7 +116,7 @@
         old = EngineOrders()
         late_decision = old.on_read(engine.read(), target(5, 'v1'))
         engine.reconcile(EngineOrders(), target(6, 'v2'))
-        assert isinstance(late_decision, GiveOrder)
+        assert isinstance(late_decision, SendOrder)
         assert not engine.take(late_decision, target(5, 'v1'))
         assert engine.version == 'v2'
 
@@ -142,7 +142,7 @@
         late_decision = old.on_read(engine.read(), target(5, 'v1'))
         new = EngineOrders()
         engine.reconcile(new, target(6, 'v2'))
-        assert isinstance(late_decision, GiveOrder)
+        assert isinstance(late_decision, SendOrder)
         engine.take(late_decision, target(5, 'v1'))
         assert not new.confirms(engine.read(), target(6, 'v2'))
         engine.reconcile(new, target(6, 'v2'))
--- a/tests/orders/test_orderer.py
+++ b/tests/orders/test_orderer.py
@@ -139,7 +139,7 @@
                 assert standin.shown['version'] == 'v1'
                 final = await run_and_get_final(client, 'v2')
                 assert final.outcome is Outcome.NOT_RUN
-                await new.until_changed(target(6, 'v2'))
+                await new.wait_until_changed(target(6, 'v2'))
                 await load(new, client, target(6, 'v2'))
                 assert standin.shown['version'] == 'v2'
 
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -25,8 +25,8 @@
 from crowrudder_model import CrowrudderError
 from crowrudder_model.fleet import (
     FleetConfig,
-    NamedVersion,
     RouteKind,
+    TargetVersion,
     Upstream,
     UpstreamState,
 )
@@ -255,7 +255,7 @@
         found = decode_record(
             'op/version/m', dumped({'model': 'm', 'version': 2})
         )
-        assert found == NamedVersion(model='m', version=2)
+        assert found == TargetVersion(model='m', version=2)
 
     def test_other_keys_are_ignored(self):
         assert decode_record('elsewhere', b'x') is None
@@ -284,7 +284,7 @@
             assert exc.step == 'decode'
             assert exc.peer == key
         else:
-            assert isinstance(found, FleetConfig | Upstream | NamedVersion)
+            assert isinstance(found, FleetConfig | Upstream | TargetVersion)
 
 
 HEADERS = {
@@ -330,7 +330,7 @@
             urgency=1,
             resume_after='12',
         )
-        sent = PlatformCallers().request_for(call_of(), b'body', terms)
+        sent = PlatformCallers().upstream_request(call_of(), b'body', terms)
         headers = dict(sent.headers)
         assert headers['X-Deadline-Ms'] == '1500'
         assert headers['X-Tenant'] == 'shop'
@@ -365,9 +365,9 @@
                 ('retry-after', '0.5'),
             ),
         )
-        mark = PlatformCallers().mark_of(head)
+        mark = PlatformCallers().response_metadata(head)
         assert mark.not_run
-        assert not mark.is_vouched
+        assert not mark.is_authentic
         assert (mark.request_id, mark.retry_after_s) == ('9c41', 0.5)
 
     @pytest.mark.parametrize(
@@ -386,10 +386,12 @@
     )
     def test_limit_is_read_if_it_is_a_number(self, text, limit):
         head = WireHead(status=200, headers=(('server-limit', text),))
-        assert PlatformCallers().mark_of(head).limit_per_s == limit
+        assert PlatformCallers().response_metadata(head).limit_per_s == limit
 
     def test_misdirected_request_was_not_run(self):
-        mark = PlatformCallers().mark_of(WireHead(status=421, headers=()))
+        mark = PlatformCallers().response_metadata(
+            WireHead(status=421, headers=())
+        )
         assert mark.not_run
 
     def test_hop_by_hop_headers_arent_forwarded(self):
@@ -402,4 +404,6 @@
                 ('x-replica-seal', 's'),
             ),
         )
-        assert PlatformCallers().passed_back(head) == [('x-replica-seal', 's')]
+        assert PlatformCallers().response_headers(head) == [
+            ('x-replica-seal', 's')
+        ]
--- a/tests/processes/test_steps.py
+++ b/tests/processes/test_steps.py
@@ -177,7 +177,7 @@
         loop.run(scenario())
 
 
-class TestFrozen:
+class TestPaused:
     """A process is paused and resumed while all others continue."""
 
     @pytest.mark.parametrize('victim', ['agent', 'engine', 'entry'])
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -9,9 +9,9 @@
 
 from crowrudder_core.quarantine import (
     Audience,
-    Convicted,
     Quarantine,
-    Tell,
+    Quarantined,
+    SendSuspicion,
     owners,
 )
 from crowrudder_core.quarantine._ledger import MAX_SUSPECTS
@@ -21,14 +21,18 @@
     SUSPICION_S,
 )
 from crowrudder_core.quarantine._unconfirmed import ALIVE_AFTER_S
-from crowrudder_model.messages import LifeEnd, SuspectNews, SuspectWord
+from crowrudder_model.messages import (
+    IncarnationEnd,
+    SuspicionReport,
+    SuspicionUpdate,
+)
 
 DIGEST = 77
 NOW = 1000.0
 
 
 def close_and_end(core, digest, incarnation, *, now, ran_s=0.0):
-    core.on_broken(digest, [incarnation], ran_s=ran_s, now=now)
+    core.on_connection_closed(digest, [incarnation], ran_s=ran_s, now=now)
     return core.on_ended(incarnation, now=now + 0.1)
 
 
@@ -40,101 +44,106 @@
 
 
 def reports_of(effects):
-    return [each.word for each in effects if isinstance(each, Tell)]
+    return [each.word for each in effects if isinstance(each, SendSuspicion)]
 
 
-class TestVerdict:
+class TestQuarantineDecision:
     def test_three_ends_quarantine_a_request(self):
         core = Quarantine()
         assert not close_and_end(core, DIGEST, 'a', now=NOW)[1:]
         close_and_end(core, DIGEST, 'b', now=NOW)
-        assert not core.is_convicted(DIGEST, now=NOW + 1)
+        assert not core.is_quarantined(DIGEST, now=NOW + 1)
         effects = close_and_end(core, DIGEST, 'c', now=NOW)
-        assert Convicted(DIGEST, ('a', 'b', 'c')) in effects
-        assert core.is_convicted(DIGEST, now=NOW + 1)
+        assert Quarantined(DIGEST, ('a', 'b', 'c')) in effects
+        assert core.is_quarantined(DIGEST, now=NOW + 1)
 
     def test_end_of_an_incarnation_counts_once(self):
         core = Quarantine()
         for _ in range(5):
             close_and_end(core, DIGEST, 'a', now=NOW)
-        assert not core.is_convicted(DIGEST, now=NOW + 1)
+        assert not core.is_quarantined(DIGEST, now=NOW + 1)
 
     def test_reset_by_a_live_upstream_is_not_an_end(self):
         """Guards against suspicion because of connections that are reset."""
         core = Quarantine()
         for incarnation in ('a', 'b', 'c'):
-            core.on_broken(DIGEST, [incarnation], ran_s=0, now=NOW)
-            core.on_sound(incarnation, as_of=NOW + 2 * ALIVE_AFTER_S)
+            core.on_connection_closed(DIGEST, [incarnation], ran_s=0, now=NOW)
+            core.on_upstream_alive(incarnation, as_of=NOW + 2 * ALIVE_AFTER_S)
             assert not core.on_ended(incarnation, now=NOW + 2)
-        assert not core.is_convicted(DIGEST, now=NOW + 2)
+        assert not core.is_quarantined(DIGEST, now=NOW + 2)
 
     def test_status_from_before_the_end_clears_nothing(self):
         core = Quarantine()
-        core.on_broken(DIGEST, ['a'], ran_s=0, now=NOW)
-        core.on_sound('a', as_of=NOW + 0.1)
+        core.on_connection_closed(DIGEST, ['a'], ran_s=0, now=NOW)
+        core.on_upstream_alive('a', as_of=NOW + 0.1)
         assert core.on_ended('a', now=NOW + 0.3)
 
     def test_ends_of_longer_runs_count_half(self):
         core = Quarantine()
         for incarnation in ('a', 'b', 'c', 'd', 'e'):
             close_and_end(core, DIGEST, incarnation, now=NOW, ran_s=2)
-        assert not core.is_convicted(DIGEST, now=NOW + 1)
+        assert not core.is_quarantined(DIGEST, now=NOW + 1)
         close_and_end(core, DIGEST, 'f', now=NOW, ran_s=2)
-        assert core.is_convicted(DIGEST, now=NOW + 1)
+        assert core.is_quarantined(DIGEST, now=NOW + 1)
 
     def test_unconfirmed_ends_prevent_a_further_retry(self):
         core = Quarantine()
         close_and_end(core, DIGEST, 'a', now=NOW)
-        core.on_broken(DIGEST, ['b'], ran_s=0, now=NOW)
-        assert core.may_send_again(DIGEST, now=NOW)
-        core.on_broken(DIGEST, ['c'], ran_s=0, now=NOW)
-        assert not core.may_send_again(DIGEST, now=NOW)
+        core.on_connection_closed(DIGEST, ['b'], ran_s=0, now=NOW)
+        assert core.may_retry(DIGEST, now=NOW)
+        core.on_connection_closed(DIGEST, ['c'], ran_s=0, now=NOW)
+        assert not core.may_retry(DIGEST, now=NOW)
 
     def test_quarantine_lasts_from_the_last_refusal(self):
         core = quarantined()
         core.on_refused(DIGEST, now=NOW + QUARANTINE_S)
-        assert core.is_convicted(DIGEST, now=NOW + 2 * QUARANTINE_S - 1)
-        assert not core.is_convicted(DIGEST, now=NOW + 2 * QUARANTINE_S + 1)
+        assert core.is_quarantined(DIGEST, now=NOW + 2 * QUARANTINE_S - 1)
+        assert not core.is_quarantined(DIGEST, now=NOW + 2 * QUARANTINE_S + 1)
 
     def test_ends_below_the_threshold_expire(self):
         core = Quarantine()
         close_and_end(core, DIGEST, 'a', now=NOW)
         close_and_end(core, DIGEST, 'b', now=NOW)
         close_and_end(core, DIGEST, 'c', now=NOW + 2 * SUSPICION_S)
-        assert not core.is_convicted(DIGEST, now=NOW + 2 * SUSPICION_S + 1)
+        assert not core.is_quarantined(DIGEST, now=NOW + 2 * SUSPICION_S + 1)
 
 
-class TestWholeRuns:
+class TestCompletedRuns:
     def test_completed_run_clears_a_request(self):
         core = quarantined()
-        (word,) = reports_of(core.on_whole(DIGEST, now=NOW + 1))
-        assert not core.is_convicted(DIGEST, now=NOW + 1)
+        (word,) = reports_of(core.on_run_completed(DIGEST, now=NOW + 1))
+        assert not core.is_quarantined(DIGEST, now=NOW + 1)
         other = quarantined()
-        other.on_news(SuspectNews((word,)), now=NOW + 1)
-        assert not other.is_convicted(DIGEST, now=NOW + 1)
+        other.on_update(SuspicionUpdate((word,)), now=NOW + 1)
+        assert not other.is_quarantined(DIGEST, now=NOW + 1)
 
     def test_frequent_request_is_not_quarantined_after_a_power_failure(self):
         """Guards against refusing a request that completes many times a second."""
         core = Quarantine()
-        core.on_whole(DIGEST, now=NOW)
-        assert not quarantined(core, now=NOW + 1).is_convicted(
+        core.on_run_completed(DIGEST, now=NOW)
+        assert not quarantined(core, now=NOW + 1).is_quarantined(
             DIGEST, now=NOW + 2
         )
 
     def test_completed_run_of_long_ago_does_not_clear(self):
         core = Quarantine()
-        core.on_whole(DIGEST, now=NOW)
+        core.on_run_completed(DIGEST, now=NOW)
         later = NOW + COMPLETED_RUN_WINDOW_S + 1
-        assert quarantined(core, now=later).is_convicted(DIGEST, now=later + 1)
+        assert quarantined(core, now=later).is_quarantined(
+            DIGEST, now=later + 1
+        )
 
     def test_entry_that_saw_a_completed_run_reports_it(self):
         core = Quarantine()
-        core.on_whole(DIGEST, now=NOW)
-        word = SuspectWord(
-            DIGEST, tuple(LifeEnd(incarnation, 100) for incarnation in 'abc')
+        core.on_run_completed(DIGEST, now=NOW)
+        word = SuspicionReport(
+            DIGEST,
+            tuple(IncarnationEnd(incarnation, 100) for incarnation in 'abc'),
+        )
+        (sent,) = reports_of(
+            core.on_update(SuspicionUpdate((word,)), now=NOW + 1)
         )
-        (sent,) = reports_of(core.on_news(SuspectNews((word,)), now=NOW + 1))
-        assert sent.whole_ms == 1000
+        assert sent.completed_ms == 1000
 
 
 class TestWords:
@@ -150,19 +159,19 @@
         effects = []
         for incarnation in ('a', 'b', 'c'):
             (sent,) = close_and_end(Quarantine(), DIGEST, incarnation, now=NOW)
-            effects += owner.on_news(SuspectNews((sent.word,)), now=NOW)
-        assert Convicted(DIGEST, ('a', 'b', 'c')) in effects
+            effects += owner.on_update(SuspicionUpdate((sent.word,)), now=NOW)
+        assert Quarantined(DIGEST, ('a', 'b', 'c')) in effects
 
     def test_known_report_is_not_forwarded(self):
         core = quarantined()
-        (word,) = core.reminder(random.Random(1), now=NOW + 1)
-        assert not core.on_news(SuspectNews((word,)), now=NOW + 1.01)
+        (word,) = core.sample_reports(random.Random(1), now=NOW + 1)
+        assert not core.on_update(SuspicionUpdate((word,)), now=NOW + 1.01)
 
     def test_new_process_learns_from_sampled_reports(self):
-        words = quarantined().reminder(random.Random(1), now=NOW + 5)
+        words = quarantined().sample_reports(random.Random(1), now=NOW + 5)
         other = Quarantine()
-        other.on_news(SuspectNews(tuple(words)), now=NOW + 5)
-        assert other.is_convicted(DIGEST, now=NOW + 5)
+        other.on_update(SuspicionUpdate(tuple(words)), now=NOW + 5)
+        assert other.is_quarantined(DIGEST, now=NOW + 5)
 
     def test_few_entries_own_a_request(self):
         ips = [str(number) for number in range(340)]
@@ -171,32 +180,32 @@
     def test_power_failure_of_a_domain_evicts_no_quarantined_request(self):
         core = quarantined()
         for digest in range(1000, 1000 + 2 * MAX_SUSPECTS):
-            core.on_broken(digest, ['z'], ran_s=0, now=NOW)
+            core.on_connection_closed(digest, ['z'], ran_s=0, now=NOW)
         core.on_ended('z', now=NOW)
-        assert core.is_convicted(DIGEST, now=NOW)
+        assert core.is_quarantined(DIGEST, now=NOW)
         assert not any(
-            core.is_convicted(digest, now=NOW) for digest in range(1000, 1100)
+            core.is_quarantined(digest, now=NOW) for digest in range(1000, 1100)
         )
 
     @given(
         digest=st.integers(-(2**63), 2**64 - 1),
         ends=st.lists(
             st.builds(
-                LifeEnd,
+                IncarnationEnd,
                 st.text(max_size=300),
                 st.integers(-(2**40), 2**40),
                 st.booleans(),
             ),
             max_size=20,
         ),
-        whole_ms=st.integers(-(2**40), 2**40),
+        completed_ms=st.integers(-(2**40), 2**40),
         refused_ms=st.integers(-(2**40), 2**40),
     )
     def test_out_of_range_reports_are_accepted(
-        self, digest, ends, whole_ms, refused_ms
+        self, digest, ends, completed_ms, refused_ms
     ):
         core = Quarantine()
-        word = SuspectWord(digest, tuple(ends), whole_ms, refused_ms)
-        core.on_news(SuspectNews((word,)), now=NOW)
-        core.is_convicted(digest, now=NOW)
-        core.reminder(random.Random(1), now=NOW)
+        word = SuspicionReport(digest, tuple(ends), completed_ms, refused_ms)
+        core.on_update(SuspicionUpdate((word,)), now=NOW)
+        core.is_quarantined(digest, now=NOW)
+        core.sample_reports(random.Random(1), now=NOW)
--- a/tests/requests/test_admission.py
+++ b/tests/requests/test_admission.py
@@ -8,7 +8,7 @@
 
 from crowrudder_core.requests import (
     AdmissionQueue,
-    Late,
+    DeadlineUnreachable,
     SlotAdmission,
     Start,
     Waiting,
@@ -102,8 +102,10 @@
 
     def test_unreachable_deadline_is_detected_on_arrival(self):
         admission = self.busy()
-        assert not admission.in_time(item(1, 'a', deadline=1.5), now=0.0)
-        assert admission.in_time(item(1, 'a', deadline=2.5), now=0.0)
+        assert not admission.can_meet_deadline(
+            item(1, 'a', deadline=1.5), now=0.0
+        )
+        assert admission.can_meet_deadline(item(1, 'a', deadline=2.5), now=0.0)
 
     def test_no_run_starts_that_cannot_meet_its_deadline(self):
         """Guards against slots full of attempts that all miss their deadline.
@@ -117,7 +119,7 @@
         start_all(admission, 0.0)
         late = item(1, 'a', deadline=1.05)
         admission.add(late)
-        assert admission.next(now=0.0) == Late(late.key)
+        assert admission.next(now=0.0) == DeadlineUnreachable(late.key)
 
     def test_idle_upstream_always_accepts_an_attempt(self):
         """Guards against short deadlines that are rejected forever after load.
@@ -129,7 +131,7 @@
         admission = self.busy()
         admission.leave(item(0, 'a').key)
         short = item(1, 'a', deadline=0.5)
-        assert admission.in_time(short, now=0.0)
+        assert admission.can_meet_deadline(short, now=0.0)
         admission.add(short)
         assert admission.next(now=0.0) == Start(short.key)
 
--- a/tests/requests/test_at_most_once.py
+++ b/tests/requests/test_at_most_once.py
@@ -10,16 +10,16 @@
 )
 
 from crowrudder_core.requests import (
-    ClaimBook,
-    Place,
+    ClaimRegistry,
+    VoterCandidate,
     _claims,
-    homes_of,
+    voters_of,
 )
 from crowrudder_model import Outcome
 from crowrudder_model.messages import (
-    ClaimAsk,
+    ClaimRequest,
     ClaimState,
-    ReleaseAsk,
+    ReleaseRequest,
 )
 from support.claims_world import (
     Letter,
@@ -50,7 +50,7 @@
 
     def test_smaller_quorum_violates_the_invariant(self, monkeypatch):
         """A quorum of three voters doesn't tolerate the same two faults."""
-        monkeypatch.setattr(_claims, 'quorum', lambda homes: 3)
+        monkeypatch.setattr(_claims, 'quorum', lambda voters: 3)
         with pytest.raises(AssertionError):
             run_through_entries_with_different_lists()
 
@@ -67,17 +67,17 @@
     """
     world = World()
     world.send('entry-1')
-    homes = world.sendings[0].homes
-    world.letters = [each for each in world.letters if each.host in homes[:3]]
-    deliver_and_start(world, homes[0])
-    world.views['entry-2'] -= set(homes[:2])
+    voters = world.sendings[0].voters
+    world.letters = [each for each in world.letters if each.host in voters[:3]]
+    deliver_and_start(world, voters[0])
+    world.views['entry-2'] -= set(voters[:2])
     world.send('entry-2')
-    world.letters = [each for each in world.letters if each.host != homes[2]]
-    deliver_and_start(world, homes[3])
+    world.letters = [each for each in world.letters if each.host != voters[2]]
+    deliver_and_start(world, voters[3])
     if not world.started:
         # Three answers are too few: deliver the claim to the fourth voter too.
-        world.letters.append(Letter('claim', world.sendings[0], homes[3]))
-        deliver_and_start(world, homes[0])
+        world.letters.append(Letter('claim', world.sendings[0], voters[3]))
+        deliver_and_start(world, voters[0])
     return world
 
 
@@ -92,49 +92,51 @@
     world.holds()
 
 
-class TestHomes:
+class TestVoters:
     """Selection of the voters of an id."""
 
     def test_lists_that_differ_by_one_host_differ_by_one_voter(self):
         hosts = [f'host-{number}' for number in range(30)]
         candidates = [
-            Place(host, f'd{number % 4}') for number, host in enumerate(hosts)
+            VoterCandidate(host, f'd{number % 4}')
+            for number, host in enumerate(hosts)
         ]
         for number in range(200):
             request_id = f'r{number}'
-            chosen = set(homes_of(request_id, candidates))
+            chosen = set(voters_of(request_id, candidates))
             for removed_host in chosen:
                 remaining = [
                     place for place in candidates if place.host != removed_host
                 ]
-                other = set(homes_of(request_id, remaining))
+                other = set(voters_of(request_id, remaining))
                 assert len(chosen & other) == len(chosen) - 1
 
     def test_voters_are_in_different_failure_domains(self):
         candidates = [
-            Place(f'h{number}', f'd{number % 6}') for number in range(60)
+            VoterCandidate(f'h{number}', f'd{number % 6}')
+            for number in range(60)
         ]
         domains = {place.host: place.failure_domain for place in candidates}
         for number in range(100):
-            homes = homes_of(f'r{number}', candidates)
-            assert len({domains[home] for home in homes}) == len(homes) == 5
+            voters = voters_of(f'r{number}', candidates)
+            assert len({domains[home] for home in voters}) == len(voters) == 5
 
 
 class TestClaimBook:
     """Claims and releases in different orders."""
 
-    CLAIM = ClaimAsk(request_id='r', owner='e1', serial=1, keep_s=60.0)
-    RELEASE = ReleaseAsk(request_id='r', owner='e1', serial=1)
+    CLAIM = ClaimRequest(request_id='r', owner='e1', serial=1, keep_s=60.0)
+    RELEASE = ReleaseRequest(request_id='r', owner='e1', serial=1)
 
     def test_claim_received_after_its_release_is_rejected(self):
-        book = ClaimBook()
+        book = ClaimRegistry()
         book.release(self.RELEASE, now=0.0)
         assert book.claim(self.CLAIM, now=1.0) is ClaimState.TAKEN
         other = evolve(self.CLAIM, owner='e2')
         assert book.claim(other, now=1.0) is ClaimState.GRANTED
 
     def test_released_id_can_be_claimed_again(self):
-        book = ClaimBook()
+        book = ClaimRegistry()
         book.claim(self.CLAIM, now=0.0)
         book.release(self.RELEASE, now=1.0)
         again = evolve(self.CLAIM, serial=2)
@@ -150,17 +152,17 @@
         rejected and releases; another entry claims it. The release applied to
         all earlier claims of its owner.
         """
-        book = ClaimBook()
+        book = ClaimRegistry()
         book.claim(self.CLAIM, now=0.0)
         book.release(evolve(self.RELEASE, serial=2), now=1.0)
         other = evolve(self.CLAIM, owner='e2')
         assert book.claim(other, now=2.0) is ClaimState.TAKEN
 
     def test_full_or_leaving_voter_abstains(self):
-        book = ClaimBook(most=1)
+        book = ClaimRegistry(most=1)
         book.claim(evolve(self.CLAIM, request_id='other'), now=0.0)
         assert book.claim(self.CLAIM, now=0.0) is ClaimState.ABSTAINED
-        book = ClaimBook()
+        book = ClaimRegistry()
         book.claim(self.CLAIM, now=0.0)
         book.leaving = True
         other = evolve(self.CLAIM, owner='e2')
@@ -169,7 +171,7 @@
         assert book.claim(fresh, now=0.0) is ClaimState.ABSTAINED
 
     def test_claim_expires_after_its_retention(self):
-        book = ClaimBook()
+        book = ClaimRegistry()
         book.claim(self.CLAIM, now=0.0)
         book.forget(now=59.0)
         assert len(book) == 1
--- a/tests/requests/test_explain.py
+++ b/tests/requests/test_explain.py
@@ -7,7 +7,7 @@
 import pytest
 
 from crowrudder_daemon.admin import UnknownNameError
-from crowrudder_daemon.entry._requests import RequestsTask, SnapshotCame
+from crowrudder_daemon.entry._requests import RequestsTask, SnapshotReceived
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_daemon.process import Runtime
 from crowrudder_daemon.rpc import PeerClient
@@ -29,7 +29,7 @@
 async def explain_in_entry(bundle, customer, model):
     runtime = Runtime(cfg=entry_settings(), log=logging.getLogger('test'))
     requests = RequestsTask(runtime, PeerClient())
-    requests.on_snapshot_came(SnapshotCame(Snapshot(bundle)))
+    requests.on_snapshot_received(SnapshotReceived(Snapshot(bundle)))
     try:
         return requests.explain(customer, model)
     finally:
--- a/tests/requests/test_leaving_entry.py
+++ b/tests/requests/test_leaving_entry.py
@@ -12,7 +12,7 @@
 
 from crowrudder_daemon.entry._handlers import make_application
 from crowrudder_daemon.entry._open_answers import OpenAnswers
-from crowrudder_daemon.entry._requests import SnapshotCame
+from crowrudder_daemon.entry._requests import SnapshotReceived
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_model import Member
 from support.aio import run
@@ -29,7 +29,7 @@
 
     async def __aenter__(self) -> ServedEntry:
         self.entry = start_entry(0)
-        self.entry.requests.post(SnapshotCame(Snapshot(BUNDLE, MEMBERS)))
+        self.entry.requests.post(SnapshotReceived(Snapshot(BUNDLE, MEMBERS)))
         socket, self.port = bind_unused_port()
         self.http = HTTPServer(
             make_application(
--- a/tests/requests/test_ledger.py
+++ b/tests/requests/test_ledger.py
@@ -5,7 +5,7 @@
 from attrs import evolve
 
 from crowrudder_core.requests import AgentLedger
-from crowrudder_core.requests._ledger import KEEP_S
+from crowrudder_core.requests._ledger import ATTEMPT_RETENTION_S
 from crowrudder_model.messages import Attempt, AttemptKey
 
 KEY = AttemptKey(request_id='r1', attempt=1, entry='e1')
@@ -22,7 +22,7 @@
 def receive_and_start(ledger: AgentLedger, *, now: float) -> bool:
     return (
         ledger.receive(ATTEMPT, now=now) is None
-        and ledger.ask(KEY, now=now)
+        and ledger.request_permit(KEY, now=now)
         and ledger.permit(KEY, granted=True, now=now)
         and ledger.start(KEY, now=now)
     )
@@ -40,9 +40,9 @@
         """
         ledger = AgentLedger()
         assert receive_and_start(ledger, now=0.0)
-        ledger.forget(now=KEEP_S + 1)
+        ledger.forget(now=ATTEMPT_RETENTION_S + 1)
         again = evolve(ATTEMPT, key=evolve(KEY, entry='e2'))
-        refusal = ledger.receive(again, now=KEEP_S + 2)
+        refusal = ledger.receive(again, now=ATTEMPT_RETENTION_S + 2)
         assert refusal is not None
         assert refusal.reason == 'already_started'
 
@@ -50,15 +50,15 @@
         ledger = AgentLedger()
         receive_and_start(ledger, now=0.0)
         ledger.finish(KEY, now=5.0)
-        ledger.forget(now=KEEP_S + 4)
+        ledger.forget(now=ATTEMPT_RETENTION_S + 4)
         assert ledger.records
-        ledger.forget(now=KEEP_S + 6)
+        ledger.forget(now=ATTEMPT_RETENTION_S + 6)
         assert not ledger.records
         assert not ledger.started_ids
 
     def test_expired_permit_starts_nothing(self):
         ledger = AgentLedger()
         ledger.receive(ATTEMPT, now=0.0)
-        ledger.ask(KEY, now=1.0)
+        ledger.request_permit(KEY, now=1.0)
         assert ledger.permit(KEY, granted=True, now=2.0)
         assert not ledger.start(KEY, now=3600.0)
--- a/tests/requests/test_owner.py
+++ b/tests/requests/test_owner.py
@@ -6,8 +6,8 @@
 
 from crowrudder_core.requests import (
     Attach,
-    MoveOn,
     RequestOwner,
+    RetryElsewhere,
     Settle,
 )
 from crowrudder_model import InvariantError, Outcome
@@ -56,7 +56,7 @@
         assert owner.lost(first) == Settle(first)
         assert not owner.grant(owner.open_attempt(), now=1.0)
         never = SettledState.NEVER_STARTS
-        assert owner.settled(first, never) == MoveOn(first)
+        assert owner.settled(first, never) == RetryElsewhere(first)
         assert owner.grant(owner.open_attempt(), now=1.0)
 
     def test_attached_attempt_keeps_its_permit(self):
@@ -65,10 +65,10 @@
         owner.grant(key, now=1.0)
         owner.lost(key)
         assert owner.settled(key, SettledState.ATTACHED) == Attach(key)
-        assert owner.permit_out
+        assert owner.has_outstanding_permit
 
 
-class TestFinalWord:
+class TestFinalOutcome:
     """Outcome that is reported to the caller."""
 
     def test_not_run_becomes_unknown_while_a_permit_is_outstanding(self):
@@ -87,7 +87,9 @@
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
         owner.lost(key)
-        assert owner.settled(key, SettledState.OTHER_INCARNATION) == MoveOn(key)
+        assert owner.settled(
+            key, SettledState.OTHER_INCARNATION
+        ) == RetryElsewhere(key)
         assert owner.close(Outcome.NOT_RUN) is Outcome.UNKNOWN
 
     def test_not_run_is_not_reported_after_a_failed_run(self):
--- a/tests/requests/test_path.py
+++ b/tests/requests/test_path.py
@@ -8,7 +8,7 @@
 
 from crowrudder_daemon.agent._run_messages import DrainRuns
 from crowrudder_daemon.entry._claims import select_voters
-from crowrudder_daemon.entry._requests import CallerLost
+from crowrudder_daemon.entry._requests import CallerDisconnected
 from crowrudder_model import Member, Outcome
 from support.aio import run
 from support.path import Path, final, start_entry, until
@@ -173,7 +173,7 @@
         run(scenario())
 
 
-class TestHomesInUse:
+class TestVoterSelection:
     """Selection of voters from the member list."""
 
     MEMBERS = tuple(
@@ -187,8 +187,8 @@
         lags, still contains it. Claims fail if all three must grant them.
         """
         leaving = evolve(self.MEMBERS[0], state='leaving')
-        homes = select_voters('r', (leaving, *self.MEMBERS[1:]))
-        assert set(homes) == {'agent-1', 'agent-2'}
+        voters = select_voters('r', (leaving, *self.MEMBERS[1:]))
+        assert set(voters) == {'agent-1', 'agent-2'}
 
     def test_a_single_suspect_is_excluded_but_not_several(self):
         assert len(select_voters('r', self.MEMBERS, {'agent-1'})) == 2
@@ -197,7 +197,7 @@
         )
 
 
-class TestFrozenAgent:
+class TestPausedAgent:
     """A paused host: it accepts connections and sends nothing."""
 
     def test_the_final_outcome_arrives_at_the_deadline(self):
@@ -316,7 +316,7 @@
         run(scenario())
 
 
-class TestCallerLeaves:
+class TestCallerDisconnects:
     """A caller that closes its connection."""
 
     def test_an_idempotent_run_is_cancelled_at_the_engine(self):
@@ -332,7 +332,7 @@
                 entry, upstream = path.entries[0], path.agents[0].upstream
                 parts = entry.ask('r', idempotent=True)
                 await wait_until_begun(path, 'r')
-                entry.requests.post(CallerLost(parts))
+                entry.requests.post(CallerDisconnected(parts))
                 await until(lambda: upstream.cancelled)
                 await until(lambda: not path.agents[0].runs.state.running)
 
@@ -346,7 +346,7 @@
                 await wait_until_begun(path, 'r2')
                 parts = entry.ask('waits', made_here=True)
                 await until(lambda: agent.runs.state.queued)
-                entry.requests.post(CallerLost(parts))
+                entry.requests.post(CallerDisconnected(parts))
                 await until(lambda: not agent.runs.state.queued)
                 open_gates(path)
                 for each in running:
@@ -361,7 +361,7 @@
                 entry = path.entries[0]
                 parts = entry.ask('r')
                 await wait_until_begun(path, 'r')
-                entry.requests.post(CallerLost(parts))
+                entry.requests.post(CallerDisconnected(parts))
                 open_gates(path)
                 ended = await final(parts)
                 assert ended.outcome is Outcome.ANSWERED
--- a/tests/requests/test_reports.py
+++ b/tests/requests/test_reports.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from crowrudder_daemon.agent._run_messages import ResumeRuns
-from crowrudder_model.messages import ReportAsk
+from crowrudder_model.messages import ReportRequest
 from support.aio import run
 from support.path import SERVICE, Path
 
@@ -23,7 +23,7 @@
         async def story():
             async with Path(agents=1) as path:
                 agent, entry = path.agents[0], path.entries[0]
-                ask = ReportAsk(host='e', interval_s=LONG_S)
+                ask = ReportRequest(host='e', interval_s=LONG_S)
                 reports = agent.service._on_reports(ask, None)
                 first = await anext(reports)
                 following = asyncio.ensure_future(anext(reports))
--- a/tests/requests/test_runs_task.py
+++ b/tests/requests/test_runs_task.py
@@ -214,7 +214,7 @@
             await run_ready()
             assert [type(body).__name__ for body in bodies(second)] == [
                 'Queued',
-                'PermitAsk',
+                'PermitRequest',
             ]
             await task.stop()
 
--- a/tests/requests/test_two_places.py
+++ b/tests/requests/test_second_queue_place.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from crowrudder_daemon.entry._requests import CallerLost
+from crowrudder_daemon.entry._requests import CallerDisconnected
 from crowrudder_model import Outcome
 from support.aio import run
 from support.path import Path, final, until
@@ -34,14 +34,14 @@
         await until(
             lambda: all(agent.runs.state.queued for agent in path.agents)
         )
-        busy.requests.post(CallerLost(holders[serving.upstream.ran[0]]))
+        busy.requests.post(CallerDisconnected(holders[serving.upstream.ran[0]]))
         await until(lambda: 'r' in serving.upstream.ran)
         await until(lambda: not other.runs.state.queued)
         other.upstream.gate.set()
         yield serving, other, parts
 
 
-class TestLeftForAnother:
+class TestCancelledQueuePlace:
     def test_its_agent_is_retried_when_the_serving_agent_dies(self):
         """Guard against an idempotent stream that fails while an agent lives.
 
--- a/tests/requests/test_slow_reader.py
+++ b/tests/requests/test_slow_reader.py
@@ -7,7 +7,7 @@
 
 from crowrudder_daemon.entry import build_entry
 from crowrudder_daemon.entry._parts import Ended
-from crowrudder_daemon.entry._requests import RequestCame
+from crowrudder_daemon.entry._requests import RequestReceived
 from crowrudder_daemon.process import Runtime
 from crowrudder_model import Outcome
 from crowrudder_model.messages import Piece
@@ -29,7 +29,7 @@
 
 def post_long_answer(message):
     """Replace the requests task: post one long answer."""
-    if isinstance(message, RequestCame):
+    if isinstance(message, RequestReceived):
         piece = Piece(request_id='r', version='plain', index=0, body=LONG_BODY)
         message.parts.put_nowait(piece)
         message.parts.put_nowait(
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -8,7 +8,7 @@
 from attrs import evolve
 
 from crowrudder_core.routing import Need, Router, covered
-from crowrudder_model.messages import Report, RoomReply
+from crowrudder_model.messages import CapacityReply, Report
 
 NEED = Need(service='s')
 
@@ -81,7 +81,7 @@
     def test_disconnected_report_stream_keeps_outstanding_attempts(self):
         router = make_router(make_report('a'))
         router.on_sent('a', 'a-1')
-        router.on_gone('a')
+        router.on_agent_gone('a')
         assert router.choose(NEED, now=0.0) is None
         router.on_report(make_report('a'), now=1.0)
         assert router.agents['a'].outstanding == 1
@@ -136,10 +136,10 @@
         router = make_router(make_report('bad'), make_report('a', running=7))
         router.on_outcome('bad', failed=True, now=0.0)
         replies = {
-            'bad': RoomReply(wait_s=0.0, filled=0.0),
-            'a': RoomReply(wait_s=0.5, filled=0.9),
+            'bad': CapacityReply(wait_s=0.0, filled=0.0),
+            'a': CapacityReply(wait_s=0.5, filled=0.9),
         }
-        choice = router.choose_by_word(NEED, replies, first='', now=0.1)
+        choice = router.choose_by_capacity(NEED, replies, first='', now=0.1)
         assert choice is not None
         assert choice.host == 'a'
 
@@ -199,27 +199,29 @@
     def test_free_slot_is_preferred_over_the_affinity_host(self):
         router = make_router(make_report('a'), make_report('b'))
         replies = {
-            'a': RoomReply(wait_s=0.7, filled=1.5),
-            'b': RoomReply(wait_s=0.0, filled=0.5),
+            'a': CapacityReply(wait_s=0.7, filled=1.5),
+            'b': CapacityReply(wait_s=0.0, filled=0.5),
         }
-        choice = router.choose_by_word(NEED, replies, first='a', now=0.0)
+        choice = router.choose_by_capacity(NEED, replies, first='a', now=0.0)
         assert choice is not None
         assert choice.host == 'b'
 
     def test_affinity_host_is_kept_while_it_has_a_free_slot(self):
         router = make_router(make_report('a'), make_report('b'))
         replies = {
-            'a': RoomReply(wait_s=0.0, filled=0.6),
-            'b': RoomReply(wait_s=0.0, filled=0.5),
+            'a': CapacityReply(wait_s=0.0, filled=0.6),
+            'b': CapacityReply(wait_s=0.0, filled=0.5),
         }
-        choice = router.choose_by_word(NEED, replies, first='a', now=0.0)
+        choice = router.choose_by_capacity(NEED, replies, first='a', now=0.0)
         assert choice is not None
         assert choice.host == 'a'
 
     def test_agent_that_accepts_no_work_is_not_chosen(self):
         router = make_router(make_report('a'))
-        replies = {'a': RoomReply(wait_s=-1.0)}
-        assert router.choose_by_word(NEED, replies, first='a', now=0.0) is None
+        replies = {'a': CapacityReply(wait_s=-1.0)}
+        assert (
+            router.choose_by_capacity(NEED, replies, first='a', now=0.0) is None
+        )
 
 
 class TestSubset:
--- a/tests/support/agent_checks.py
+++ b/tests/support/agent_checks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from crowrudder_core.transfer import (
-    chunks_of,
+    chunks_of_layers,
     indices,
 )
 from crowrudder_model.fleet import LayerRange
@@ -20,7 +20,7 @@
     run(within())
 
 
-def assert_whole(world, replica, version):
+def assert_complete(world, replica, version):
     """Check every load of an engine, and that it ends with complete weights.
 
     Each load consists of valid chunks of the ordered version, and has every
@@ -28,7 +28,9 @@
     """
     for loaded, order in zip(replica.taken, replica.orders, strict=True):
         layers = LayerRange(order.get('from', 0), order.get('target', LAYERS))
-        required = chunks_of(layers, layers=LAYERS, chunks=world.origin.count)
+        required = chunks_of_layers(
+            layers, layers=LAYERS, chunks=world.origin.count
+        )
         expected = {
             index: world.origin.piece(order['version'], index)
             for index in indices(required)
--- a/tests/support/claims_world.py
+++ b/tests/support/claims_world.py
@@ -15,21 +15,21 @@
 
 from crowrudder_core.requests import (
     AgentLedger,
-    ClaimBook,
-    ClaimCount,
-    Place,
+    ClaimRegistry,
+    ClaimResult,
+    ClaimTally,
     RequestOwner,
-    Vote,
+    VoterCandidate,
     _claims,
-    homes_of,
+    voters_of,
 )
-from crowrudder_core.requests._voters import MOST_HOMES
+from crowrudder_core.requests._voters import MAX_VOTERS
 from crowrudder_model import Outcome
 from crowrudder_model.messages import (
     Attempt,
     AttemptKey,
-    ClaimAsk,
-    ReleaseAsk,
+    ClaimRequest,
+    ReleaseRequest,
 )
 
 REQUEST_ID = 'notice-1'
@@ -51,7 +51,7 @@
 class Home:
     """The claims and attempts that one incarnation of an agent stores."""
 
-    book: ClaimBook = field(factory=ClaimBook)
+    book: ClaimRegistry = field(factory=ClaimRegistry)
     ledger: AgentLedger = field(factory=AgentLedger)
     life: int = 0
 
@@ -62,18 +62,18 @@
 
     entry: str
     serial: int
-    homes: tuple[str, ...]
+    voters: tuple[str, ...]
     owner: RequestOwner
-    count: ClaimCount
+    count: ClaimTally
     alive: bool = True
     told: Outcome | None = None
 
-    def claim(self) -> ClaimAsk:
-        return ClaimAsk(
+    def claim(self) -> ClaimRequest:
+        return ClaimRequest(
             request_id=REQUEST_ID,
             owner=self.entry,
             serial=self.serial,
-            keep_s=BUDGET_S + _claims.REMEMBER_S,
+            keep_s=BUDGET_S + _claims.CLAIM_RETENTION_S,
         )
 
 
@@ -96,7 +96,7 @@
         super().__init__()
         self.faults_left = SAFE_FAULTS
         self.now = 0.0
-        self.homes = {host: Home() for host in HOSTS}
+        self.voters = {host: Home() for host in HOSTS}
         self.views = {entry: set(HOSTS) for entry in ENTRIES}
         self.lives = dict.fromkeys(ENTRIES, 0)
         self.letters: list[Letter] = []
@@ -107,11 +107,11 @@
     def send(self, entry):
         serial = len(self.sendings) + 1
         incarnation = f'{entry}/{self.lives[entry]}'
-        homes = homes_of(REQUEST_ID, places(self.views[entry]))
+        voters = voters_of(REQUEST_ID, places(self.views[entry]))
         sending = Sending(
             entry=incarnation,
             serial=serial,
-            homes=homes,
+            voters=voters,
             owner=RequestOwner(
                 REQUEST_ID,
                 entry=incarnation,
@@ -119,10 +119,10 @@
                 deadline=self.now + BUDGET_S,
                 serial=serial,
             ),
-            count=ClaimCount(homes),
+            count=ClaimTally(voters),
         )
         self.sendings.append(sending)
-        for host in homes:
+        for host in voters:
             self.letters.append(Letter('claim', sending, host))
 
     @precondition(lambda world: world.letters)
@@ -151,7 +151,7 @@
     @rule(passed=st.sampled_from((0.1, 3.0, 11.0, 300.0)))
     def wait(self, passed):
         """Advance the time, at most to the end of the retention of claims."""
-        longest = _claims.REMEMBER_S
+        longest = _claims.CLAIM_RETENTION_S
         if self.now + passed < longest:
             self.now += passed
 
@@ -172,21 +172,21 @@
     @rule(host=st.sampled_from(HOSTS))
     def restart_agent(self, host):
         """Restart a voter gracefully: it hands its claims over."""
-        held = self.homes[host].book.held(now=self.now)
+        held = self.voters[host].book.held(now=self.now)
         others = [other for other in HOSTS if other != host]
-        for other in homes_of(REQUEST_ID, places(others)):
-            self.homes[other].book.take_over(held, now=self.now)
+        for other in voters_of(REQUEST_ID, places(others)):
+            self.voters[other].book.import_claims(held, now=self.now)
         self._renew(host)
 
     @precondition(lambda world: world.faults_left > 0)
     @rule(
         entry=st.sampled_from(ENTRIES),
-        pick=st.integers(0, MOST_HOMES - 1),
+        pick=st.integers(0, MAX_VOTERS - 1),
     )
     def lag(self, entry, pick):
         """Remove one of the id's voters from one entry's member list."""
-        homes = homes_of(REQUEST_ID, places(self.views[entry]))
-        self.views[entry].discard(homes[pick])
+        voters = voters_of(REQUEST_ID, places(self.views[entry]))
+        self.views[entry].discard(voters[pick])
         self.faults_left -= 1
 
     @precondition(lambda world: world.sendings)
@@ -202,7 +202,7 @@
         """Queue a claimed request at an agent; two calls may pick two agents."""
         sending = self._held()[-1]
         key = sending.owner.open_attempt()
-        life = self.homes[host].life
+        life = self.voters[host].life
         self.letters.append(Letter('attempt', sending, host, key, life))
 
     def _held(self) -> list[Sending]:
@@ -211,11 +211,11 @@
             for sending in self.sendings
             if sending.alive
             and sending.told is None
-            and sending.count.vote is Vote.HELD
+            and sending.count.vote is ClaimResult.HELD
         ]
 
     def _on_claim(self, letter: Letter) -> None:
-        book = self.homes[letter.host].book
+        book = self.voters[letter.host].book
         state = book.claim(letter.sending.claim(), now=self.now)
         reply = evolve(letter, step='claim_reply', word=state)
         self.letters.append(reply)
@@ -223,19 +223,19 @@
     def _on_claim_reply(self, letter: Letter) -> None:
         sending = letter.sending
         vote = sending.count.take(letter.host, letter.word)
-        refused = vote not in {Vote.HELD, Vote.OPEN}
+        refused = vote not in {ClaimResult.HELD, ClaimResult.OPEN}
         if refused and sending.alive and sending.told is None:
             self._tell_not_run(sending)
 
     def _on_release(self, letter: Letter) -> None:
         sending = letter.sending
-        ask = ReleaseAsk(
+        ask = ReleaseRequest(
             request_id=REQUEST_ID, owner=sending.entry, serial=sending.serial
         )
-        self.homes[letter.host].book.release(ask, now=self.now)
+        self.voters[letter.host].book.release(ask, now=self.now)
 
     def _on_attempt(self, letter: Letter) -> None:
-        home = self.homes[letter.host]
+        home = self.voters[letter.host]
         if home.life != letter.life or letter.key is None:
             return
         attempt = Attempt(
@@ -247,7 +247,7 @@
             idempotent=False,
         )
         taken = home.ledger.receive(attempt, now=self.now) is None
-        if taken and home.ledger.ask(letter.key, now=self.now):
+        if taken and home.ledger.request_permit(letter.key, now=self.now):
             self.letters.append(evolve(letter, step='permit_ask'))
 
     def _on_permit_ask(self, letter: Letter) -> None:
@@ -258,7 +258,7 @@
         self.letters.append(evolve(letter, step='permit', word=granted))
 
     def _on_permit(self, letter: Letter) -> None:
-        home = self.homes[letter.host]
+        home = self.voters[letter.host]
         if home.life != letter.life or letter.key is None:
             return
         permitted = home.ledger.permit(
@@ -270,12 +270,12 @@
     def _tell_not_run(self, sending: Sending) -> None:
         sending.told = sending.owner.close(Outcome.NOT_RUN)
         if sending.told is Outcome.NOT_RUN:
-            for host in sending.homes:
+            for host in sending.voters:
                 self.letters.append(Letter('release', sending, host))
 
     def _renew(self, host: str) -> None:
-        life = self.homes[host].life + 1
-        self.homes[host] = Home(life=life)
+        life = self.voters[host].life + 1
+        self.voters[host] = Home(life=life)
 
     @invariant()
     def holds(self):
@@ -287,11 +287,13 @@
             for sending in self.sendings
             if sending.told is Outcome.NOT_RUN
             for key in self.started
-            if key in sending.owner.holds and key.entry in ran
+            if key in sending.owner.attempt_states and key.entry in ran
         }
         assert not serials, self.started
 
 
-def places(hosts: Any) -> list[Place]:
+def places(hosts: Any) -> list[VoterCandidate]:
     """Return hosts spread over three failure domains."""
-    return [Place(host, f'domain-{int(host[-1]) % 3}') for host in hosts]
+    return [
+        VoterCandidate(host, f'domain-{int(host[-1]) % 3}') for host in hosts
+    ]
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -27,7 +27,7 @@
     WireRequest,
 )
 from crowrudder_daemon.process import Runtime
-from crowrudder_model.fleet import Bounds, Node, NodePlace
+from crowrudder_model.fleet import Bounds, Node, NodeLocation
 from crowrudder_standins._serving import application
 from crowrudder_standins.fleet_origin import FleetOrigin
 from crowrudder_standins.fleet_replica import FleetReplica
@@ -225,7 +225,7 @@
             host=f'entry-{number}',
             role='entry',
             ip=ip,
-            place=NodePlace(
+            place=NodeLocation(
                 failure_domain='z', region='r', regions=(('z', 'r'),)
             ),
             callers=f'{ip}:{free_port()}',
@@ -272,7 +272,7 @@
             host=name,
             role='agent',
             ip=ip,
-            place=NodePlace(
+            place=NodeLocation(
                 failure_domain=zone, region='r', regions=(('z', 'r'),)
             ),
             peer_ports=PEER_PORTS,
--- a/tests/support/fleet_checks.py
+++ b/tests/support/fleet_checks.py
@@ -20,7 +20,7 @@
     ]
 
 
-def spoil_all(world, service, name, count=1, amount=0.0):
+def inject_fault_all(world, service, name, count=1, amount=0.0):
     for key, replica in world.replicas.items():
         if key.startswith(service):
             replica.faults.switch_on(fault(name, count, amount))
@@ -36,7 +36,7 @@
     run(within())
 
 
-def name_second(world, name, *, end_s):
+def announce_second_version(world, name, *, end_s):
     """Announce a second version that one replica has; the first ends soon."""
     world.replicas[name].weights = 2
     world.list_replica(name, 'llm')
@@ -45,7 +45,7 @@
         entry.catalog.view.releases.window_s = end_s
 
 
-def hold_back(world, name, *, is_changing=True):
+def refuse_requests(world, name, *, is_changing=True):
     """Report that a replica changes its weights, or no longer does."""
     replica = world.replicas[name]
     load = EngineLoad(
--- a/tests/support/knowledge.py
+++ b/tests/support/knowledge.py
@@ -8,7 +8,11 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from crowrudder_daemon.knowledge import KnowledgeTask, Pace, Snapshot
+from crowrudder_daemon.knowledge import (
+    ExchangeIntervals,
+    KnowledgeTask,
+    Snapshot,
+)
 from crowrudder_daemon.knowledge._peers import PeerCalls
 from crowrudder_daemon.knowledge._platform import (
     BundleRead,
@@ -25,7 +29,7 @@
     Settings,
 )
 from crowrudder_model import PeerLostError, decode_message, encode_message
-from crowrudder_model.messages import Hello, Knowledge, TakeAsk
+from crowrudder_model.messages import Hello, Knowledge, SnapshotRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,9 +38,9 @@
     from crowrudder_model import Member
 
 WATCH_S = 0.02
-INTERVALS = Pace(exchange_s=0.02, push_gap_s=0.001, tick_s=0.01)
+INTERVALS = ExchangeIntervals(exchange_s=0.02, push_gap_s=0.001, tick_s=0.01)
 GARBAGE = bytes(range(128, 256))
-_Message = TypeVar('_Message', Hello, Knowledge, TakeAsk)
+_Message = TypeVar('_Message', Hello, Knowledge, SnapshotRequest)
 
 
 class FakePlatform:
@@ -146,7 +150,7 @@
         task = await self._peer(member)
         return _round_trip(await task._on_give(_round_trip(knowledge), None))
 
-    async def take(self, member: Member, request: TakeAsk) -> Knowledge:
+    async def take(self, member: Member, request: SnapshotRequest) -> Knowledge:
         """Request newer knowledge from a peer."""
         task = await self._peer(member)
         return _round_trip(await task._on_take(_round_trip(request), None))
@@ -230,7 +234,9 @@
 
     async def in_force(self, generation: int) -> None:
         """Wait until a generation is in force everywhere."""
-        await self.until(lambda task: task.book.order.generation == generation)
+        await self.until(
+            lambda task: task.active_config.order.generation == generation
+        )
 
     async def read_by_all(self) -> None:
         """Wait until every host has read the platform twice more."""
--- a/tests/support/limits_world.py
+++ b/tests/support/limits_world.py
@@ -135,7 +135,7 @@
         options = [
             f'u{number}'
             for number in sampled
-            if limits.has_room(f'u{number}', now=self.now)
+            if limits.has_capacity(f'u{number}', now=self.now)
         ]
         if not options:
             self.refused += 1
@@ -168,6 +168,6 @@
                 self._schedule(at, self._receive, other, report)
 
     def _receive(self, entry, report):
-        forwarded = self.limits[entry].on_word(report, now=self.now)
+        forwarded = self.limits[entry].on_report(report, now=self.now)
         if forwarded is not None:
             self._send_report(entry, forwarded)
--- a/tests/support/path.py
+++ b/tests/support/path.py
@@ -23,12 +23,12 @@
     CallHead,
     CompletionBody,
 )
-from crowrudder_daemon.entry._links import ReportCame
+from crowrudder_daemon.entry._links import ReportReceived
 from crowrudder_daemon.entry._parts import Ended
 from crowrudder_daemon.entry._requests import (
-    RequestCame,
+    RequestReceived,
     RequestsTask,
-    SnapshotCame,
+    SnapshotReceived,
 )
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_daemon.process import Runtime
@@ -141,7 +141,7 @@
     def ask(self, request_id: str, **more: Any) -> asyncio.Queue[Any]:
         """Send a request as the HTTP server does."""
         parts: asyncio.Queue[Any] = asyncio.Queue()
-        self.requests.post(RequestCame(request(request_id, **more), parts))
+        self.requests.post(RequestReceived(request(request_id, **more), parts))
         return parts
 
     async def kill(self) -> None:
@@ -181,11 +181,11 @@
         for agent in self.agents:
             agent.claims._knowledge.snapshot = snapshot
         for entry in self.entries:
-            entry.requests.post(SnapshotCame(snapshot))
+            entry.requests.post(SnapshotReceived(snapshot))
             for agent in self.agents:
                 report = agent.service.report()
                 address = agent.member.rpc_address
-                entry.requests.post(ReportCame(report, address))
+                entry.requests.post(ReportReceived(report, address))
 
 
 def request(
@@ -204,7 +204,7 @@
             budget_s=budget_s,
             idempotent=idempotent,
             priority=5,
-            id_made_here=made_here,
+            id_generated=made_here,
         ),
         service=SERVICE,
         completion=CompletionBody(model=SERVICE, prompt=request_id),
@@ -220,7 +220,7 @@
     runs = RunsTask(runtime, upstream)  # type: ignore[arg-type]
     knowledge: Any = types.SimpleNamespace(
         snapshot=Snapshot(),
-        book=types.SimpleNamespace(order=(1, '')),
+        active_config=types.SimpleNamespace(order=(1, '')),
     )
     server = PeerServer('127.0.0.1:0')
     service = RunService(runtime, runs, knowledge)
--- a/tests/support/quarantine_world.py
+++ b/tests/support/quarantine_world.py
@@ -16,12 +16,12 @@
 
 from crowrudder_core.quarantine import (
     Audience,
-    Convicted,
     Quarantine,
-    Tell,
+    Quarantined,
+    SendSuspicion,
     owners,
 )
-from crowrudder_model.messages import SuspectNews
+from crowrudder_model.messages import SuspicionUpdate
 
 MAX_ATTEMPTS = 2
 START_DELAY_S = (0.08, 0.4)
@@ -147,7 +147,7 @@
 
     def _send(self, digest, entry, sends, caller_retries, excluded):
         quarantine = self.quarantines[entry]
-        if quarantine.is_convicted(digest, now=self.now):
+        if quarantine.is_quarantined(digest, now=self.now):
             self.rejected.add(digest)
             return
         incarnation = self._choose_upstream(excluded)
@@ -185,7 +185,7 @@
         run.incarnation.runs.remove(run)
         quarantine = self.quarantines[run.entry]
         self._apply_effects(
-            run.entry, quarantine.on_whole(run.digest, now=self.now)
+            run.entry, quarantine.on_run_completed(run.digest, now=self.now)
         )
 
     def _crash(self, run):
@@ -205,10 +205,10 @@
     def _on_connection_closed(self, run):
         quarantine = self.quarantines[run.entry]
         ran_s = max(self.now - run.started_at, 0)
-        quarantine.on_broken(
+        quarantine.on_connection_closed(
             run.digest, [run.incarnation.name], ran_s=ran_s, now=self.now
         )
-        may_retry = quarantine.may_send_again(run.digest, now=self.now)
+        may_retry = quarantine.may_retry(run.digest, now=self.now)
         if run.sends < MAX_ATTEMPTS and may_retry:
             args = (
                 run.digest,
@@ -242,16 +242,16 @@
     def _apply_effects(self, entry, effects):
         for effect in effects:
             match effect:
-                case Tell(word=report, audience=Audience.PARTNERS):
+                case SendSuspicion(word=report, audience=Audience.PARTNERS):
                     others = [n for n in self.names if n != str(entry)]
                     count = min(UPDATE_PARTNERS, len(others))
                     self._send_report(report, self.rng.sample(others, count))
-                case Tell(word=report):
+                case SendSuspicion(word=report):
                     chosen = owners(report.digest, self.names)
                     self._send_report(
                         report, [n for n in chosen if n != str(entry)]
                     )
-                case Convicted(digest=digest):
+                case Quarantined(digest=digest):
                     self._withdraw_queued(entry, digest)
 
     def _send_report(self, report, names):
@@ -266,9 +266,9 @@
                 )
 
     def _receive(self, entry, report):
-        update = SuspectNews((report,))
+        update = SuspicionUpdate((report,))
         self._apply_effects(
-            entry, self.quarantines[entry].on_news(update, now=self.now)
+            entry, self.quarantines[entry].on_update(update, now=self.now)
         )
 
     def _withdraw_queued(self, entry, digest):
--- a/tests/support/weights_versions.py
+++ b/tests/support/weights_versions.py
@@ -10,7 +10,7 @@
     FromOrigin,
     Manifest,
     Place,
-    transfer_of,
+    start_transfer,
 )
 
 PLACE = Place('rennes', 'rennes-1')
@@ -35,7 +35,7 @@
     if store is None:
         store = ChunkStore(1000)
     store.want([manifest])
-    transfer = transfer_of(
+    transfer = start_transfer(
         manifest,
         host=host,
         place=PLACE,
--- a/tests/weights/test_adapter.py
+++ b/tests/weights/test_adapter.py
@@ -13,7 +13,7 @@
 from crowrudder_daemon.agent.weights._goal import Goal
 from crowrudder_daemon.agent.weights._loading import Loader
 from crowrudder_daemon.chunks import Artifact
-from crowrudder_daemon.chunks._stock import EngineNote
+from crowrudder_daemon.chunks._stock import EngineStatus
 from crowrudder_daemon.fetch import Answer
 from crowrudder_model import InvariantError, UpstreamError
 from crowrudder_model.declared import Service, Version
@@ -60,7 +60,7 @@
         orders=EngineOrderer(engine),
         runs=nothing,
         peers=nothing,
-        note=EngineNote(),
+        note=EngineStatus(),
         on_progress=lambda _: None,
     )
 
--- a/tests/weights/test_calls_by_size.py
+++ b/tests/weights/test_calls_by_size.py
@@ -7,8 +7,17 @@
 import pytest
 from attrs import evolve
 
-from crowrudder_core.transfer import PeerTable, Place, Stock, derive_pacing
-from crowrudder_daemon.fleet_agent._library import NEIGHBOURS, NEWS_S, PACE
+from crowrudder_core.transfer import (
+    PeerInventory,
+    PeerTable,
+    Place,
+    derive_pacing,
+)
+from crowrudder_daemon.fleet_agent._library import (
+    INVENTORY_INTERVAL_S,
+    MAX_NEIGHBOURS,
+    TRANSFER_PACING,
+)
 
 VERSION_SIZES = {
     'size': 2_000_000,
@@ -34,37 +43,37 @@
 def queries_per_s(size, *, silent=0):
     """Return the query rate of an agent whose peers send reports.
 
-    Each peer sends its inventory to `NEIGHBOURS` hosts every `NEWS_S`. Of the
+    Each peer sends its inventory to `MAX_NEIGHBOURS` hosts every `INVENTORY_INTERVAL_S`. Of the
     hosts that the agent reads from, `silent` ones neither report nor answer.
     """
     random = Random(size)
     places = places_of(size)
     own = next(iter(places))
-    pace = evolve(derive_pacing(**VERSION_SIZES), **PACE)
+    pace = evolve(derive_pacing(**VERSION_SIZES), **TRANSFER_PACING)
     peers = PeerTable(own, places[own], pace)
     peers.on_hosts(places)
     silent_hosts = set(peers.neighbours()[:silent])
     others = [
         host for host in places if host != own and host not in silent_hosts
     ]
-    reports_per_tick = NEIGHBOURS * TICK_S / NEWS_S
+    reports_per_tick = MAX_NEIGHBOURS * TICK_S / INVENTORY_INTERVAL_S
     queries, now, reports_due = 0, 0.0, 0.0
     while now < DURATION_S:
         now += TICK_S
         reports_due += reports_per_tick
         while reports_due >= 1:
             reports_due -= 1
-            peers.on_stock(Stock(host=random.choice(others)), now)
+            peers.on_inventory(PeerInventory(host=random.choice(others)), now)
         for host in peers.due_queries((), now):
             queries += 1
             if host in silent_hosts:
-                peers.on_silence(host, now)
+                peers.on_no_answer(host, now)
             else:
-                peers.on_stock(Stock(host=host), now)
+                peers.on_inventory(PeerInventory(host=host), now)
     return queries / DURATION_S
 
 
-class TestQuestionsForWhatIsHeld:
+class TestInventoryQueries:
     """Guards against queries to hosts that report their inventory anyway.
 
     Agents spent more time on queries to each other than on chunks.
--- a/tests/weights/test_failures.py
+++ b/tests/weights/test_failures.py
@@ -8,7 +8,7 @@
 from _weights_fleet import Fleet, Scene
 from _weights_links import MICROS
 
-from crowrudder_core.transfer import MOST_COPIES
+from crowrudder_core.transfer import MAX_COPIES
 
 HOSTS = 12
 CHUNKS = 36
@@ -24,10 +24,10 @@
     subject.run(until_us=int(subject.clock.now + bounds * BOUND_US))
     late = [host.name for host in subject.waiting() if host.alive]
     assert not late
-    assert subject.origin_copies <= MOST_COPIES
+    assert subject.origin_copies <= MAX_COPIES
     for host in subject.hosts.values():
         if host.alive:
-            host.transfer.assert_whole()
+            host.transfer.assert_complete()
     return subject
 
 
@@ -229,7 +229,7 @@
         subject = fleet()
         subject.sides = {f'h{n}': n // 2 for n in range(HOSTS)}
         subject.run(until_us=25 * MICROS)
-        assert subject.origin_copies <= MOST_COPIES
+        assert subject.origin_copies <= MAX_COPIES
         subject.sides = {}
         run(subject)
 
--- a/tests/weights/test_first_copy.py
+++ b/tests/weights/test_first_copy.py
@@ -15,13 +15,13 @@
     FromOrigin,
     OriginReader,
     OriginReason,
+    PeerInventory,
     Place,
     Source,
-    Stock,
     UnassignedReads,
+    assign_layer_ranges,
     derive_pacing,
     full,
-    parts_of,
 )
 from support.weights_versions import NEW, begin, version
 
@@ -51,7 +51,7 @@
     )
 
 
-class TestEvenTurns:
+class TestEvenFirstReads:
     def test_first_reads_are_spread_evenly(self):
         """Guards against a version that lacks one chunk on all hosts.
 
@@ -69,7 +69,9 @@
     def test_hosts_of_one_part_read_as_many_chunks_as_each_other(self, count):
         hosts = [f'h{number}' for number in range(count)]
         turns = firsts(hosts, even=True)
-        parts = parts_of('m@2', {name: Place('r', name) for name in hosts})
+        parts = assign_layer_ranges(
+            'm@2', {name: Place('r', name) for name in hosts}
+        )
         for part in set(parts.values()):
             own = [turns[host] for host in hosts if parts[host] == part]
             assert max(own) - min(own) <= 1
@@ -111,7 +113,7 @@
     )
 
 
-class TestHelp:
+class TestUnassignedReads:
     def test_last_gap_is_read_by_an_idle_host(self):
         assert unassigned_read(0b1011, held=0b1) == FromOrigin(2)
 
@@ -131,7 +133,7 @@
         assert unassigned_read(0b1111, held=0b1111) is None
 
 
-class TestReasons:
+class TestOriginReasons:
     """Checks that logs can state why a host read from the origin."""
 
     def test_assigned_read_before_any_inventory_has_its_own_reason(self):
@@ -140,7 +142,7 @@
         transfer.next_reads(now=1)
         assert transfer.origin.reasons == {'unheard': 1}
         transfer.abandon_reads()
-        transfer.on_stock(Stock(host='b', slots=1), now=1)
+        transfer.on_inventory(PeerInventory(host='b', slots=1), now=1)
         transfer.next_reads(now=2)
         assert transfer.origin.reasons == {'unheard': 1, 'turn': 1}
 
@@ -155,8 +157,10 @@
         )
         reads = transfer.next_reads(now=0) + transfer.next_reads(now=1)
         assert [type(read) for read in reads] == [FromOrigin]
-        complete_peer = Stock(host='b', chunks=full(transfer.count), slots=1)
-        transfer.on_stock(complete_peer, now=1)
+        complete_peer = PeerInventory(
+            host='b', chunks=full(transfer.count), slots=1
+        )
+        transfer.on_inventory(complete_peer, now=1)
         for now in range(2, 2 + transfer.count):
             for read in reads:
                 transfer.on_chunk(read, NEW[read.index], now=now)
@@ -182,7 +186,7 @@
         transfer = begin(
             version('m@2', NEW), host='a', hosts=('a', 'b'), starved_s=0.1
         )
-        transfer.on_stock(Stock(host='b', slots=1), now=0)
+        transfer.on_inventory(PeerInventory(host='b', slots=1), now=0)
         transfer.origin.spent = transfer.origin.share
         transfer.next_reads(now=0)
         transfer.next_reads(now=1)
@@ -212,7 +216,9 @@
         for number, host in enumerate(hosts[1:], start=1):
             some = 0b111 if number % 2 else 0b111 << 3
             held = full(transfer.count) if number <= whole else some
-            transfer.on_stock(Stock(host=host, chunks=held, slots=1), now=1)
+            transfer.on_inventory(
+                PeerInventory(host=host, chunks=held, slots=1), now=1
+            )
         started = transfer.next_reads(now=5)
         assert any(isinstance(read, FromOrigin) for read in started) == reads
 
@@ -234,8 +240,10 @@
         )
         transfer.next_reads(now=0)
         transfer.abandon_reads()
-        complete_peer = Stock(host='h1', chunks=full(transfer.count), slots=1)
-        transfer.on_stock(complete_peer, now=1)
+        complete_peer = PeerInventory(
+            host='h1', chunks=full(transfer.count), slots=1
+        )
+        transfer.on_inventory(complete_peer, now=1)
         started = transfer.next_reads(now=25)
         assert started
         assert not any(isinstance(read, FromOrigin) for read in started)
@@ -256,10 +264,14 @@
         )
         transfer.next_reads(now=0)
         transfer.abandon_reads()
-        transfer.on_stock(Stock(host='h2', chunks=0b1, slots=1), now=0)
-        transfer.on_silence('h2', now=1)
-        transfer.on_silence('h2', now=2)
-        complete_peer = Stock(host='h1', chunks=full(transfer.count), slots=1)
-        transfer.on_stock(complete_peer, now=2)
+        transfer.on_inventory(
+            PeerInventory(host='h2', chunks=0b1, slots=1), now=0
+        )
+        transfer.on_no_answer('h2', now=1)
+        transfer.on_no_answer('h2', now=2)
+        complete_peer = PeerInventory(
+            host='h1', chunks=full(transfer.count), slots=1
+        )
+        transfer.on_inventory(complete_peer, now=2)
         started = transfer.next_reads(now=5)
         assert not any(isinstance(read, FromOrigin) for read in started)
--- a/tests/weights/test_hosts.py
+++ b/tests/weights/test_hosts.py
@@ -3,13 +3,13 @@
 import pytest
 
 from crowrudder_core.transfer import (
+    PeerInventory,
     PeerTable,
     Place,
     ServiceHosts,
-    Stock,
     _hosts,
+    assign_layer_ranges,
     derive_pacing,
-    parts_of,
 )
 from crowrudder_core.transfer._planner import OTHER_REGION
 from crowrudder_model import ranked
@@ -41,11 +41,13 @@
         return called
 
     monkeypatch.setattr(_hosts, 'ranked', count(ranked))
-    monkeypatch.setattr(_hosts, 'parts_of', count(parts_of))
+    monkeypatch.setattr(
+        _hosts, 'assign_layer_ranges', count(assign_layer_ranges)
+    )
     return counted
 
 
-class TestChangesThatMoveNoHost:
+class TestUnchangedHostList:
     """Guards against CPU time that grows with the square of the fleet.
 
     Each engine that loads a version changes its record. Agents ranked all
@@ -71,7 +73,7 @@
             places = places_of(count)
             hosts.on_hosts(places)
             assert hosts.rank('m@1') == ranked('m@1', places).index(OWN)
-            assert hosts.part('m@1') == parts_of('m@1', places)[OWN]
+            assert hosts.part('m@1') == assign_layer_ranges('m@1', places)[OWN]
 
     def test_other_hosts_are_grouped_by_region(self):
         hosts = ServiceHosts(host=OWN)
@@ -90,7 +92,9 @@
         )
         peers.on_hosts(places_of(size))
         for host in peers.peers:
-            peers.on_stock(Stock(host=host, chunks=0b111, slots=3), now=1.0)
+            peers.on_inventory(
+                PeerInventory(host=host, chunks=0b111, slots=3), now=1.0
+            )
         found = peers.sources(1.0, importable=0, all_chunks=0b1111)
         far = [each for each in found if each.distance == OTHER_REGION]
         assert [each.host for each in far] == ['']
@@ -102,7 +106,7 @@
         )
         peers.on_hosts(places_of(6))
         for host, chunks in (('10.0.0.1', 0b1111), ('10.0.0.3', 0b1)):
-            peers.on_stock(Stock(host=host, chunks=chunks), now=1.0)
+            peers.on_inventory(PeerInventory(host=host, chunks=chunks), now=1.0)
         for importable, names in (
             (0, {'10.0.0.1', ''}),
             (1, {'10.0.0.1', '10.0.0.3'}),
--- a/tests/weights/test_inflow.py
+++ b/tests/weights/test_inflow.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from crowrudder_core.transfer import FromPeer, Stock, full
+from crowrudder_core.transfer import FromPeer, PeerInventory, full
 from crowrudder_core.transfer._inbound_link import (
     NARROW_HOLD_S,
     WINDOW_S,
     InboundLink,
 )
-from crowrudder_daemon.fleet_agent._library import PACE
+from crowrudder_daemon.fleet_agent._library import TRANSFER_PACING
 from support.weights_versions import begin, version
 
 LINK = 100_000.0
@@ -19,7 +19,7 @@
 
 def link_after(rate, *, reads=3):
     """Return a link that received bytes at a rate, and the time at the end."""
-    inbound_link = InboundLink(LINK, PACE['narrow_share'])
+    inbound_link = InboundLink(LINK, TRANSFER_PACING['narrow_share'])
     now = 0.0
     while now < 2 * WINDOW_S:
         inbound_link.on_reads(reads, now=now)
@@ -28,7 +28,7 @@
     return inbound_link, now
 
 
-class TestInflow:
+class TestInboundLink:
     @pytest.mark.parametrize(
         ('share', 'is_narrow'), [(0.0, True), (0.15, True), (0.5, False)]
     )
@@ -47,7 +47,7 @@
 
     def test_old_receptions_are_discarded(self):
         """Guards against memory growth with every piece of a long transfer."""
-        inbound_link = InboundLink(LINK, PACE['narrow_share'])
+        inbound_link = InboundLink(LINK, TRANSFER_PACING['narrow_share'])
         for piece in range(10_000):
             inbound_link.on_bytes(1, now=piece * TICK_S)
         assert len(inbound_link._received) <= 2 * WINDOW_S / TICK_S
@@ -65,10 +65,14 @@
         transfer = begin(
             version('m@2', payloads), host='a', hosts=('a', 'b', 'c', 'd')
         )
-        transfer.inbound_link = InboundLink(LINK, PACE['narrow_share'])
+        transfer.inbound_link = InboundLink(
+            LINK, TRANSFER_PACING['narrow_share']
+        )
         for host in ('b', 'c', 'd'):
-            stock = Stock(host=host, chunks=full(transfer.count), slots=3)
-            transfer.on_stock(stock, now=0)
+            stock = PeerInventory(
+                host=host, chunks=full(transfer.count), slots=3
+            )
+            transfer.on_inventory(stock, now=0)
         reads = transfer.next_reads(now=0)
         assert len([each for each in reads if isinstance(each, FromPeer)]) > 1
         transfer.next_reads(now=WINDOW_S)
--- a/tests/weights/test_origin_returns.py
+++ b/tests/weights/test_origin_returns.py
@@ -5,7 +5,7 @@
 import pytest
 from weights_returns import WINDOW_S, play
 
-MOST_COPIES = 2.0
+MAX_COPIES = 2.0
 
 
 @pytest.mark.parametrize('hosts', [9, 15, 27, 46])
@@ -22,4 +22,4 @@
             assert play(seed, hosts).out_s <= WINDOW_S
 
     def test_origin_sends_few_chunks_twice(self, hosts):
-        assert play(3, hosts).origin_copies <= MOST_COPIES
+        assert play(3, hosts).origin_copies <= MAX_COPIES
--- a/tests/weights/test_parts.py
+++ b/tests/weights/test_parts.py
@@ -10,11 +10,11 @@
 
 from crowrudder_core.transfer import (
     Place,
-    chunks_of,
+    assign_layer_ranges,
+    chunks_of_layers,
     full,
-    layers_of,
-    part_count,
-    parts_of,
+    layer_range_count,
+    layers_of_range,
 )
 from crowrudder_model.fleet import LayerRange
 
@@ -32,8 +32,8 @@
     @given(regions)
     def test_each_region_has_every_part_that_it_can(self, found):
         places = places_of(found)
-        parts = parts_of('m@2', places)
-        count = part_count(len(places))
+        parts = assign_layer_ranges('m@2', places)
+        count = layer_range_count(len(places))
         for region in set(found):
             own = {
                 parts[host]
@@ -45,7 +45,9 @@
 
     @given(st.integers(1, 60))
     def test_the_fleet_has_as_many_hosts_of_each_part(self, hosts):
-        parts = Counter(parts_of('v', places_of([0] * hosts)).values())
+        parts = Counter(
+            assign_layer_ranges('v', places_of([0] * hosts)).values()
+        )
         assert max(parts.values()) - min(parts.values()) <= 1
 
     @given(
@@ -54,14 +56,14 @@
         count=st.integers(1, 3),
     )
     def test_parts_are_all_layers_and_all_chunks(self, layers, chunks, count):
-        ranges = [layers_of(part, count, layers) for part in range(count)]
+        ranges = [layers_of_range(part, count, layers) for part in range(count)]
         assert ranges[0].first == 0
         assert ranges[-1].end == layers
         for near, far in itertools.pairwise(ranges):
             assert near.end == far.first
         bits = 0
         for held in ranges:
-            bits |= chunks_of(held, layers=layers, chunks=chunks)
+            bits |= chunks_of_layers(held, layers=layers, chunks=chunks)
         assert bits == full(chunks)
 
     @given(
@@ -69,7 +71,9 @@
         chunks=st.integers(1, 100),
     )
     def test_a_layer_has_each_chunk_that_touches_it(self, layer, chunks):
-        bits = chunks_of(LayerRange(layer, layer + 1), layers=16, chunks=chunks)
+        bits = chunks_of_layers(
+            LayerRange(layer, layer + 1), layers=16, chunks=chunks
+        )
         for index in range(chunks):
             begins, ends = index / chunks, (index + 1) / chunks
             touches = ends > layer / 16 and begins < (layer + 1) / 16
--- a/tests/weights/test_rules.py
+++ b/tests/weights/test_rules.py
@@ -24,11 +24,11 @@
     derive_pacing,
     full,
     indices,
-    may_change,
+    may_load,
     pack,
     plan_reads,
     predecessors,
-    transfer_of,
+    start_transfer,
     unpack,
 )
 from crowrudder_core.transfer._chunk_sets import rarest
@@ -81,7 +81,7 @@
         importable=more.pop('importable', 0),
         from_origin=more.pop('from_origin', 0),
     )
-    more.setdefault('room', 4)
+    more.setdefault('free_slots', 4)
     return plan_reads(
         read_candidates,
         sources,
@@ -138,7 +138,7 @@
                 for host in hosts
                 if loaded[host] == 'v1'
                 and host not in changing
-                and may_change(
+                and may_load(
                     'v2',
                     predecessors(
                         service='s',
@@ -159,11 +159,11 @@
 
     def test_unresponsive_host_does_not_block_others(self):
         chain = ['silent', 'done']
-        assert may_change('v2', chain, {'done': 'v2'}, has_loaded=True)
-        assert not may_change('v2', chain, {'done': 'v1'}, has_loaded=True)
+        assert may_load('v2', chain, {'done': 'v2'}, has_loaded=True)
+        assert not may_load('v2', chain, {'done': 'v1'}, has_loaded=True)
 
     def test_empty_host_loads_at_once(self):
-        assert may_change('v2', ['a'], {'a': 'v1'}, has_loaded=False)
+        assert may_load('v2', ['a'], {'a': 'v1'}, has_loaded=False)
 
 
 class TestLinkShare:
@@ -175,14 +175,14 @@
 
     def test_yields_to_live_requests(self):
         link = LinkShare(rate=100, burst=0, live_share=0.9)
-        link.on_live(50, 1, now=1)
+        link.on_live_traffic(50, 1, now=1)
         assert link.weights_rate == pytest.approx(40)
-        link.on_live(0, 0, now=2)
+        link.on_live_traffic(0, 0, now=2)
         assert link.weights_rate == 100
 
     def test_weights_keep_a_minimum_rate(self):
         link = LinkShare(rate=100, burst=0)
-        link.on_live(1000, 9, now=1)
+        link.on_live_traffic(1000, 9, now=1)
         assert link.weights_rate == pytest.approx(5)
 
 
@@ -190,7 +190,7 @@
     assert list(indices(full(3))) == [0, 1, 2]
 
 
-class TestFoundAtTheEngine:
+class TestLocalChunks:
     def test_chunk_of_another_version_is_not_counted_against_a_source(self):
         """Guards against a transfer that starts half a second late.
 
@@ -207,7 +207,7 @@
             digest='',
             chunks=(hashlib.sha256(chunk).hexdigest(),),
         )
-        transfer = transfer_of(
+        transfer = start_transfer(
             manifest,
             host='a',
             place=Place('r', 'd'),
@@ -217,7 +217,7 @@
         )
         transfer.store.want([manifest])
         transfer.on_hosts({'a': Place('r', 'd')})
-        assert not transfer.on_found(0, b'another one', now=0)
+        assert not transfer.on_local_chunk(0, b'another one', now=0)
         assert transfer.next_reads(now=0) == [FromOrigin(0)]
-        assert transfer.on_found(0, chunk, now=0)
+        assert transfer.on_local_chunk(0, chunk, now=0)
         assert transfer.complete
