--- a/tests/weights/test_service.py
+++ b/tests/weights/test_service.py
@@ -11,25 +11,25 @@
     FromOrigin,
     LinkShare,
     full,
-    transfer_of,
+    start_transfer,
 )
 from crowrudder_daemon.chunks._collect import Collector
 from crowrudder_daemon.chunks._sources import PeerAnswer
 from crowrudder_daemon.chunks._stock import (
-    EngineNote,
+    EngineStatus,
     UploadSlots,
     build_inventory,
 )
 from crowrudder_daemon.chunks._uploads import ChunkService
 from crowrudder_model import PeerLostError, UpstreamError
-from crowrudder_model.messages import ChunkAsk
+from crowrudder_model.messages import ChunkRequest
 from support.aio import run
 from support.weights_versions import OLD, PLACE, begin, version
 
 RATE = 1e9
 
 
-class Shelf:
+class VersionStore:
     """A shelf with one version."""
 
     def __init__(self, transfer):
@@ -60,10 +60,10 @@
 
 def service(transfer, slots):
     uplink = LinkShare(rate=RATE, burst=0)
-    shelf: Any = Shelf(transfer)
+    versions: Any = VersionStore(transfer)
     return ChunkService(
-        shelf,
-        EngineNote(wanted=frozenset(('old',))),
+        versions,
+        EngineStatus(wanted=frozenset(('old',))),
         slots,
         uplink,
         lambda _: None,
@@ -71,7 +71,7 @@
 
 
 def ask(index=0, name='old'):
-    return ChunkAsk(host='a', version=name, manifest='', index=index)
+    return ChunkRequest(host='a', version=name, manifest='', index=index)
 
 
 class TestUploadSlots:
@@ -132,7 +132,7 @@
             'old',
             self.transfer,
             slots=UploadSlots(4),
-            note=EngineNote(wanted=frozenset(('old',))),
+            note=EngineStatus(wanted=frozenset(('old',))),
         )
 
     async def stock(self, _address, _asked):
@@ -166,7 +166,7 @@
         on_piece(len(OLD[index]))
         return OLD[index]
 
-    def distrust_store(self):
+    def on_bad_store_chunk(self):
         raise AssertionError('a good chunk')
 
 
@@ -186,7 +186,7 @@
     store = ChunkStore(1000)
     manifest = version('old', OLD)
     store.want([manifest])
-    transfer = transfer_of(
+    transfer = start_transfer(
         manifest,
         host='a',
         place=PLACE,
@@ -203,7 +203,7 @@
         downlink=downlink,
         address_of=lambda host: host,
         watch=watch,
-        own_stock=peers.stock_now,
+        own_inventory=peers.stock_now,
     )
     return made, transfer
 
@@ -232,7 +232,7 @@
             downlink = LinkShare(rate=RATE, burst=0)
             made, transfer = collector(peers, Origin(up=True), downlink)
             await made.run()
-            transfer.assert_whole()
+            transfer.assert_complete()
 
         run(check())
 
@@ -261,7 +261,7 @@
             downlink = LinkShare(rate=RATE, burst=0)
             made, transfer = collector(Peers(stalls=True), origin, downlink)
             await made.run()
-            transfer.assert_whole()
+            transfer.assert_complete()
             assert origin.reads == transfer.count
 
         run(check())
@@ -274,7 +274,7 @@
             await asyncio.sleep(0)
             transfer.drop()
             await running
-            assert not transfer.flights
+            assert not transfer.in_flight
             assert transfer.held != full(transfer.count)
 
         run(check())
--- a/tests/weights/test_shelf.py
+++ b/tests/weights/test_shelf.py
@@ -10,7 +10,10 @@
 
 from crowrudder_core.transfer import ManifestError
 from crowrudder_daemon.chunks import Artifact
-from crowrudder_daemon.chunks._shelf import MAX_SPARE_VERSIONS, Shelf
+from crowrudder_daemon.chunks._version_store import (
+    MAX_SPARE_VERSIONS,
+    VersionStore,
+)
 from crowrudder_daemon.process import Runtime
 from crowrudder_daemon.settings import (
     PlatformSection,
@@ -21,7 +24,7 @@
 from support.weights_versions import NEW, OLD, fill, version
 
 
-def shelf(memory_bytes=1000) -> Shelf:
+def versions(memory_bytes=1000) -> VersionStore:
     process = ProcessSection(
         role='agent',
         host='a',
@@ -41,7 +44,7 @@
         platform=PlatformSection(address='127.0.0.1:4'),
         weights=weights,
     )
-    return Shelf(Runtime(cfg, logging.getLogger('test')), weights)
+    return VersionStore(Runtime(cfg, logging.getLogger('test')), weights)
 
 
 def put(subject, name, payloads):
@@ -57,7 +60,7 @@
         The adapters are opened after their version, which was then treated as
         the oldest spare one and dropped for good while it was being fetched.
         """
-        subject = shelf()
+        subject = versions()
         names = [
             f'adapter-{number}' for number in range(MAX_SPARE_VERSIONS + 4)
         ]
@@ -69,7 +72,7 @@
         assert base.is_sound
 
     def test_spare_versions_are_bounded(self):
-        subject = shelf()
+        subject = versions()
         for number in range(MAX_SPARE_VERSIONS + 4):
             name = f'v{number}'
             subject.drop_others(frozenset((name,)))
@@ -77,7 +80,7 @@
         assert len(subject.transfers) <= MAX_SPARE_VERSIONS + 1
 
     def test_manifest_of_another_name_is_refused(self):
-        subject = shelf()
+        subject = versions()
         payload = msgspec.json.encode(version('old', OLD))
         wrong = Artifact('new', hashlib.sha256(payload).hexdigest())
         with pytest.raises(ManifestError, match='not new'):
--- a/tests/weights/test_transfer.py
+++ b/tests/weights/test_transfer.py
@@ -14,15 +14,15 @@
 )
 
 from crowrudder_core.transfer import (
-    MOST_COPIES,
+    MAX_COPIES,
     ChunkStore,
     FromOrigin,
     FromPeer,
     Manifest,
     NoRoomError,
     OriginReader,
+    PeerInventory,
     Place,
-    Stock,
     Transfer,
     choose_seeds,
     derive_pacing,
@@ -42,12 +42,12 @@
 )
 
 
-class TestWhole:
+class TestCompleteVersion:
     def test_partial_weights_are_not_loaded(self):
         transfer = begin(version('old', OLD))
         fill(transfer, OLD[:-1])
         with pytest.raises(InvariantError, match='not whole'):
-            transfer.assert_whole()
+            transfer.assert_complete()
 
     def test_valid_chunks_with_a_wrong_total_digest_are_not_loaded(self):
         """Guards against loading a version that was never published.
@@ -66,7 +66,7 @@
         transfer = begin(wrong)
         fill(transfer, OLD)
         with pytest.raises(InvariantError):
-            transfer.assert_whole()
+            transfer.assert_complete()
 
     def test_verified_version_may_lose_chunks_to_eviction(self):
         """Guards against ordering an engine to load evicted chunks.
@@ -78,10 +78,10 @@
         store = ChunkStore(4 * CHUNKS)
         old = begin(version('old', OLD), store)
         fill(old, OLD)
-        old.assert_whole()
+        old.assert_complete()
         fill(begin(version('new', NEW), store), NEW)
         with pytest.raises(InvariantError):
-            old.assert_whole()
+            old.assert_complete()
 
 
 class TestSupersededInFlight:
@@ -117,17 +117,17 @@
         store = ChunkStore(1000)
         fill(begin(version('old', OLD), store), OLD)
         begin(version('new', NEW), store).drop()
-        begin(version('old', OLD), store).assert_whole()
+        begin(version('old', OLD), store).assert_complete()
 
     def test_dropped_version_is_not_loaded(self):
         transfer = begin(version('old', OLD))
         fill(transfer, OLD)
         transfer.drop()
         with pytest.raises(InvariantError):
-            transfer.assert_whole()
+            transfer.assert_complete()
 
 
-class TestWokenAgent:
+class TestResumedAgent:
     """Guards against outdated state in an agent that resumes after a pause.
 
     Its version was dropped at the other hosts while it was paused. It must
@@ -137,13 +137,15 @@
     def test_reads_from_before_the_pause_are_overdue(self):
         transfer = begin(version('old', OLD), hosts=('a', 'b'))
         bits = full(CHUNKS)
-        transfer.on_stock(Stock(host='b', chunks=bits, slots=4), now=0)
+        transfer.on_inventory(
+            PeerInventory(host='b', chunks=bits, slots=4), now=0
+        )
         reads = transfer.next_reads(now=0)
         assert transfer.overdue(now=1000) == reads
 
     def test_peers_without_the_version_are_not_read_from(self):
         transfer = begin(version('old', OLD), hosts=('a', 'b'))
-        transfer.on_stock(Stock(host='b', wants=False), now=1000)
+        transfer.on_inventory(PeerInventory(host='b', wants=False), now=1000)
         reads = transfer.next_reads(now=1000)
         assert all(isinstance(read, FromOrigin) for read in reads)
 
@@ -191,7 +193,7 @@
         fill(transfers[2], adapter)
         fill(transfers[0], OLD)
         for transfer in transfers:
-            transfer.assert_whole()
+            transfer.assert_complete()
         assert store.held_bytes == 4 * len({*OLD, *NEW, *adapter})
 
 
@@ -202,7 +204,7 @@
         new = begin(version('new', NEW), store)
         fill(new, NEW)
         assert store.held_bytes <= store.limit
-        new.assert_whole()
+        new.assert_complete()
 
     def test_version_that_does_not_fit_is_refused(self):
         with pytest.raises(NoRoomError, match='raise it'):
@@ -213,7 +215,7 @@
         old = begin(version('old', OLD), store)
         fill(old, OLD)
         fill(begin(version('new', NEW), store), NEW)
-        assert set(indices(old.at_hand)) == {0, 1}
+        assert set(indices(old.servable_chunks)) == {0, 1}
         assert not old.is_sound
 
 
@@ -238,7 +240,7 @@
     return False
 
 
-class TestOriginsTurn:
+class TestOriginAssignments:
     hosts = tuple(f'h{number}' for number in range(40))
 
     def test_each_chunk_has_one_assigned_reader(self):
@@ -300,7 +302,7 @@
             if alone.is_seed:
                 with pytest.raises(InvariantError):
                     alone.on_started(0)
-        assert 2 * 256 < total <= MOST_COPIES * 256
+        assert 2 * 256 < total <= MAX_COPIES * 256
 
     def test_cap_holds_with_a_third_of_the_hosts_replaced(self):
         seeds = set(choose_seeds('v', dict.fromkeys(self.hosts, PLACE)))
@@ -310,7 +312,7 @@
         )
         seeds |= set(choose_seeds('v', dict.fromkeys(later, PLACE)))
         share = origin_reader('h1', self.hosts).share
-        assert len(seeds) * share <= MOST_COPIES * 256
+        assert len(seeds) * share <= MAX_COPIES * 256
 
     def test_refused_connection_does_not_count_against_the_share(self):
         alone = origin_reader('h0', ('h0',))
@@ -350,14 +352,14 @@
         wants=st.booleans(),
     )
     def stock(self, host, chunks, passes, wants):
-        stock = Stock(
+        stock = PeerInventory(
             host=host, chunks=chunks, passes=passes, slots=2, wants=wants
         )
-        self.transfer.on_stock(stock, now=self.now)
+        self.transfer.on_inventory(stock, now=self.now)
 
     @rule(host=st.sampled_from(hosts))
     def silence(self, host):
-        self.transfer.on_silence(host, now=self.now)
+        self.transfer.on_no_answer(host, now=self.now)
 
     @precondition(lambda machine: machine.started)
     @rule(data=st.data(), answer=st.sampled_from(('good', 'bad', 'lost')))
@@ -400,13 +402,13 @@
 
     @invariant()
     def no_chunk_is_asked_for_twice_at_a_time(self):
-        asked = [read.index for read in self.transfer.flights]
+        asked = [read.index for read in self.transfer.in_flight]
         assert len(set(asked)) == len(asked)
 
     @invariant()
     def whole_only_when_all_is_held(self):
         if self.transfer.complete:
-            self.transfer.assert_whole()
+            self.transfer.assert_complete()
 
 
 TestTransferMachine = TransferMachine.TestCase
--- a/tests/weights/test_turns_kept.py
+++ b/tests/weights/test_turns_kept.py
@@ -38,7 +38,7 @@
     ]
 
 
-class TestTurnsAsHostsComeAndGo:
+class TestAssignmentsAsHostsChange:
     """Guards against assignments that move when hosts join or leave.
 
     A version is declared while hosts are replaced, and each host learns of a
--- a/tests/weights/test_withdrawn.py
+++ b/tests/weights/test_withdrawn.py
@@ -5,7 +5,7 @@
 
 from crowrudder_daemon.agent import build_agent
 from crowrudder_daemon.agent._run_messages import PauseRuns
-from crowrudder_daemon.agent.weights import SnapshotCame, _task
+from crowrudder_daemon.agent.weights import SnapshotReceived, _task
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_daemon.process import Runtime
 from crowrudder_daemon.settings import parse_settings
@@ -60,7 +60,7 @@
     monkeypatch.setattr(weights, '_runs', runs)
     weights._engine_status.loaded = 'listing-v1'
     for snapshot in snapshots:
-        weights.on_snapshot_came(SnapshotCame(snapshot))
+        weights.on_snapshot_received(SnapshotReceived(snapshot))
     job = weights._job
     if job is not None and weights.declared == '':
         await job
