--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_drive.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_drive.py
@@ -166,7 +166,7 @@
         except TimeoutError:
             if not wait.expired():
                 raise
-            return Broken('cancelled, as upstreams ended under this request')
+            return Broken('taken back, as upstreams ended under this request')
         finally:
             self._wait = None
 
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
@@ -46,7 +46,7 @@
         self._shares: dict[str, tuple[float, float, float]] = {}
         self._diverted = runtime.metrics.counter(
             'upstream_limits_kept',
-            'Sends that went elsewhere because an upstream had named a limit.',
+            'Sends that went elsewhere as an upstream had named a limit.',
         )
 
     def on_answer(self, upstream_id: str, per_s: float | None) -> None:
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
@@ -54,15 +54,15 @@
         metrics = runtime.metrics
         self._ends = metrics.counter(
             'quarantine_upstream_ends',
-            'Upstreams that ended while they ran requests of this entry.',
+            'Upstreams that ended while they had requests of this entry.',
         )
         self._quarantined = metrics.counter(
             'quarantine_verdicts',
-            'Requests that were quarantined: they are sent to no upstream.',
+            'Requests that are sent to no upstream any more.',
         )
         self._refused = metrics.counter(
             'quarantine_refusals',
-            'Refused arrivals of quarantined requests.',
+            'Arrivals of such requests that were refused.',
         )
 
     def track(self, request: ActiveRequest) -> None:
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_requests_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_requests_task.py
@@ -46,7 +46,7 @@
         self.refuses = False
         self._denials = runtime.metrics.counter(
             'fleet_denials',
-            'Requests denied before an upstream was chosen, by status.',
+            'Requests answered without a choice of an upstream, by status.',
             labels=('status',),
         )
         runtime.metrics.gauge(
@@ -159,9 +159,7 @@
         """
         if self._catalog.is_current():
             return _denial(status, reason)
-        return _retry_later(
-            f'{reason}, but the configuration may be out of date'
-        )
+        return _retry_later(f'{reason}, by knowledge that may be old')
 
     async def _deny(
         self,
