--- a/packages/core/src/crowrudder_core/dispatch/_dispatch.py
+++ b/packages/core/src/crowrudder_core/dispatch/_dispatch.py
@@ -12,8 +12,8 @@
     from collections.abc import Callable
 
 MIN_TIME_LEFT_S = 0.03
-"""A request isn't sent with less time left than a round trip and a step
-take."""
+"""A request isn't sent if less time is left than a round trip and a decode
+step take."""
 
 SERVER_ERROR = 500
 
@@ -62,7 +62,7 @@
 
 @frozen
 class Refuse:
-    """Tell the caller that the request hasn't run and when to come back."""
+    """Report to the caller that the request hasn't run, and when to retry."""
 
     reason: str
     retry_after_s: float = 0
@@ -70,14 +70,14 @@
 
 @frozen
 class Fail:
-    """Tell the caller that it is unknown whether the request ran."""
+    """Report to the caller that it is unknown whether the request ran."""
 
     reason: str
 
 
 @frozen
 class Reject:
-    """Tell the caller never to send the request again."""
+    """Report to the caller that the request must not be sent again."""
 
     reason: str
 
@@ -87,7 +87,7 @@
 
 @define(kw_only=True)
 class Dispatch:
-    """The sends of one request, and what may be sent and answered next.
+    """The attempts at one request; decides whether to send or answer next.
 
     Invariants: a request that is not repeatable isn't sent again once it may
     have run; it is sent to at most ``max_sends`` upstreams; a request that
@@ -141,7 +141,7 @@
 
     def after(
         self,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         *,
         now: float,
         spend_retry: Callable[[], bool],
@@ -150,7 +150,7 @@
 
         ``spend_retry`` spends one of the retries that all entries share.
         """
-        match ending:
+        match outcome:
             case NotSent(reason=reason):
                 return self._after_not_sent(reason, now)
             case NotRun(reason=reason, retry_after_s=after_s):
@@ -163,13 +163,13 @@
                 return self._after_answer(status, now, spend_retry)
 
     def refuse(self, reason: str, retry_after_s: float = 0) -> Refuse | Fail:
-        """Give up; report as not run only a request that can't have run."""
+        """End the request; report it as not run only if it can't have run."""
         if self.may_have_run:
             return Fail(reason)
         return Refuse(reason, retry_after_s)
 
     def _after_not_sent(self, reason: str, now: float) -> Decision:
-        """Try another upstream: none has seen the request, so it is free."""
+        """Try another upstream without spending a retry: none was reached."""
         if now + MIN_TIME_LEFT_S < self.deadline_at:
             return SendAgain()
         return self.refuse(reason)
--- a/packages/core/src/crowrudder_core/forecast/_engine.py
+++ b/packages/core/src/crowrudder_core/forecast/_engine.py
@@ -58,8 +58,8 @@
         requests that follow one another in the other slots: one for each slot.
         """
         figures = self.figures
-        writing = figures.usual_answer * self.step_s(writers)
-        return writing + max(writers, 1) * self.prefill_s(figures.usual_prompt)
+        decode_s = figures.usual_answer * self.step_s(writers)
+        return decode_s + max(writers, 1) * self.prefill_s(figures.usual_prompt)
 
     def slot_interval_s(self, writers: int) -> float:
         """Return the time between two freed slots under full load."""
--- a/packages/core/src/crowrudder_core/forecast/_pipeline.py
+++ b/packages/core/src/crowrudder_core/forecast/_pipeline.py
@@ -74,9 +74,9 @@
     if first.layers.first != 0 or not layers:
         return None
     chosen = [first]
-    parts = [first.stage_from(0, layers)]
-    while parts[-1].layers.end < layers:
-        next_layer = parts[-1].layers.end
+    stages = [first.stage_from(0, layers)]
+    while stages[-1].layers.end < layers:
+        next_layer = stages[-1].layers.end
         eligible = [
             holder
             for holder in holders
@@ -93,5 +93,5 @@
             ),
         )
         chosen.append(best)
-        parts.append(best.stage_from(next_layer, layers))
-    return Pipeline(holders=tuple(chosen), parts=tuple(parts))
+        stages.append(best.stage_from(next_layer, layers))
+    return Pipeline(holders=tuple(chosen), parts=tuple(stages))
--- a/packages/core/src/crowrudder_core/forecast/_upstream_forecast.py
+++ b/packages/core/src/crowrudder_core/forecast/_upstream_forecast.py
@@ -27,11 +27,11 @@
 
 STAGE_REPORT_TTL_S = 0.5
 """Time for which a load report makes an engine eligible as a pipeline stage.
-An agent announces a second before that it drops a partial version, see
+An agent announces one second ahead that it drops a partial version, see
 `Loader`."""
 
 IN_TRANSIT_S = 0.004
-"""A request sent less than this before a load report may be missing from
+"""A request sent less than this before a load report may not be counted in
 it."""
 
 INITIAL_AVOID_S = 0.3
@@ -83,7 +83,7 @@
     _slowness_updated_at: float = 0
     _load_as_of: float = -1.0e9
     _own_in_load: int = 0
-    _own_unread_in_load: int = 0
+    _own_pending_in_load: int = 0
     _in_flight: dict[int, InFlightRequest] = field(factory=dict)
     _incarnation: IncarnationTracker = field(factory=IncarnationTracker)
 
@@ -124,12 +124,14 @@
         self.load = load
         self._load_as_of = now
         counted = [
-            work
-            for work in self._in_flight.values()
-            if work.sent_at <= now - IN_TRANSIT_S
+            request
+            for request in self._in_flight.values()
+            if request.sent_at <= now - IN_TRANSIT_S
         ]
         self._own_in_load = len(counted)
-        self._own_unread_in_load = sum(not work.has_begun for work in counted)
+        self._own_pending_in_load = sum(
+            not request.has_begun for request in counted
+        )
         return is_new
 
     def fresh_load(self, now: float) -> EngineLoad | None:
@@ -142,18 +144,18 @@
         """Return the age of the last load report; -1 if there was none."""
         return now - self._load_as_of if self.load else -1
 
-    def on_sent(self, ticket: int, work: InFlightRequest) -> None:
+    def on_sent(self, ticket: int, request: InFlightRequest) -> None:
         """Count a request that is sent."""
-        self._in_flight[ticket] = work
+        self._in_flight[ticket] = request
 
     def on_begun(self, ticket: int, *, forecast_s: float, now: float) -> None:
         """Record the first event and compare it with the forecast."""
-        work = self._in_flight.get(ticket)
-        if work is None or work.has_begun:
+        request = self._in_flight.get(ticket)
+        if request is None or request.has_begun:
             return
-        work.has_begun = True
-        took_s = now - work.sent_at
-        slowness = self._slowness_at(work.sent_at)
+        request.has_begun = True
+        took_s = now - request.sent_at
+        slowness = self._slowness_at(request.sent_at)
         ratio = took_s / max(forecast_s / slowness, 0.001)
         self.slowness = _running_mean(
             self.slowness,
@@ -166,7 +168,7 @@
         return 1 + (self.slowness - 1) * math.exp(-age_s / SLOWNESS_DECAY_S)
 
     def on_ended(self, ticket: int) -> InFlightRequest | None:
-        """Remove a request that is no longer at the upstream."""
+        """Remove and return a request that is no longer at the upstream."""
         return self._in_flight.pop(ticket, None)
 
     def on_success(self, took_s: float) -> None:
@@ -190,14 +192,14 @@
         self.failure_share = _running_mean(self.failure_share, 1)
 
     def is_avoided(self, now: float) -> bool:
-        """Return whether it is unreachable or failed recently."""
+        """Return whether the upstream is unreachable or failed recently."""
         load = self.fresh_load(now)
         if load is not None and not load.reachable:
             return True
         return now < self.avoid_until
 
     def is_changing(self, now: float) -> bool:
-        """Return whether its agent wants no requests because of a load."""
+        """Return whether its agent accepts no requests as it loads weights."""
         load = self.fresh_load(now)
         return load is not None and load.is_changing
 
@@ -214,7 +216,7 @@
         return record.weights
 
     def part(self, now: float) -> tuple[int, LayerRange] | None:
-        """Return the partial version: the version and its layer range.
+        """Return the partially held version and its layer range, or None.
 
         Only a fresh load report is used: after an older one, the engine may
         already hold the same layers of another version.
@@ -294,7 +296,7 @@
         """Drop the state of an earlier incarnation."""
         self.load = None
         self._load_as_of = now
-        self._own_in_load = self._own_unread_in_load = 0
+        self._own_in_load = self._own_pending_in_load = 0
         self.avoid_until = 0
         self.failures = 0
         self.failure_share = 0
@@ -314,23 +316,23 @@
         total = self.total(now)
         slots = max(self.upstream.slots, 1)
         writers = min(total, slots)
-        unread_s = self._unread_prompts_s(model, now)
+        pending_s = self._pending_prefill_s(model, now)
         slot_wait_s = max(total + 1 - slots, 0) * model.slot_interval_s(writers)
         pass_s = model.pass_s(writers)
-        own_read_s = model.prefill_s(prompt) + 1.5 * pass_s
-        return slowdown * (slot_wait_s + unread_s + own_read_s)
+        own_prefill_s = model.prefill_s(prompt) + 1.5 * pass_s
+        return slowdown * (slot_wait_s + pending_s + own_prefill_s)
 
-    def _unread_prompts_s(self, model: EngineModel, now: float) -> float:
-        """Estimate the prefill time of the prompts that are ahead."""
+    def _pending_prefill_s(self, model: EngineModel, now: float) -> float:
+        """Estimate the prefill time of the prompts ahead of a new request."""
         own = sum(
-            model.prefill_s(work.prompt)
-            for work in self._in_flight.values()
-            if not work.has_begun
+            model.prefill_s(request.prompt)
+            for request in self._in_flight.values()
+            if not request.has_begun
         )
         load = self.fresh_load(now)
         if load is None:
             return own * (1 + self.other_entries)
-        others = max(load.queued - self._own_unread_in_load, 0)
+        others = max(load.queued - self._own_pending_in_load, 0)
         return own + others * model.prefill_s(model.figures.usual_prompt)
 
 
--- a/packages/core/src/crowrudder_core/limits/_buckets.py
+++ b/packages/core/src/crowrudder_core/limits/_buckets.py
@@ -32,7 +32,7 @@
         self.tokens = self.burst
 
     def take(self, count: float, *, now: float) -> bool:
-        """Take tokens if there are enough."""
+        """Remove tokens if there are enough; return whether there were."""
         self._refill(now)
         if self.tokens < count:
             return False
@@ -40,7 +40,7 @@
         return True
 
     def wait_s(self, count: float, *, now: float) -> float:
-        """Return the seconds until so many tokens are available."""
+        """Return the seconds until ``count`` tokens are available."""
         self._refill(now)
         missing = max(min(count, self.burst) - self.tokens, 0.0)
         return missing / self.rate if self.rate else float('inf')
--- a/packages/core/src/crowrudder_core/limits/_shared_budget.py
+++ b/packages/core/src/crowrudder_core/limits/_shared_budget.py
@@ -31,10 +31,10 @@
 class SharedRetryBudget:
     """Arrivals beyond the first of each request, by service and window.
 
-    Each entry may use its share: a ratio of its own requests, which add up to
-    all requests, and an equal part of the fixed number. Without such a budget,
-    every entry would send each request to a failing service twice, and the
-    added load would make it fail more.
+    Each entry may use a ratio of its own requests, which over all entries is
+    that ratio of all requests, and an equal part of the fixed number. Without
+    such a budget, every entry would send each request to a failing service
+    twice, and the added load would make it fail more.
 
     Parameters
     ----------
@@ -56,9 +56,9 @@
         self._window(service, now).firsts.append(now)
 
     def take(self, service: str, *, entry_share: float, now: float) -> bool:
-        """Spend one further arrival; return whether this entry's share had it.
+        """Spend one further arrival; return whether the share allowed it.
 
-        ``entry_share`` is this entry's share of what all entries may do, 0 to 1.
+        ``entry_share`` is this entry's share of the fixed number, 0 to 1.
         """
         if not self.has(service, entry_share=entry_share, now=now):
             return False
--- a/packages/core/src/crowrudder_core/limits/_shared_rate.py
+++ b/packages/core/src/crowrudder_core/limits/_shared_rate.py
@@ -21,10 +21,11 @@
 state that its limit has ended."""
 
 LIMIT_TTL_S = 20.0
-"""How long a limit counts that no answer repeats."""
+"""How long a limit counts unless an answer repeats it."""
 
 LIMIT_TTL_REQUESTS = 6.0
-"""The same in requests at the limited rate, where that takes longer."""
+"""The same as a number of requests at the limited rate; the longer of the two
+times counts."""
 
 BURST_REQUESTS = 3.0
 BURST_S = 1.5
@@ -35,7 +36,7 @@
 def senders_of(
     upstream_id: str, per_s: float, near: Sequence[str], far: Sequence[str]
 ) -> list[str]:
-    """Return the entries that send to a limited upstream, the same everywhere.
+    """Return the entries that send to a limited upstream; all compute the same.
 
     Only few entries send, so that each has a useful share. Of one request a
     second shared by dozens of entries, each would get one in a minute, and
@@ -78,7 +79,7 @@
     _bucket: TokenBucket = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Start without saved-up requests."""
+        """Start with an empty bucket."""
         self._bucket = TokenBucket(rate=0, burst=1, refilled_at=self.stated_at)
         self._bucket.tokens = 0
 
@@ -105,7 +106,7 @@
         return self._bucket.wait_s(1, now=now) <= 0
 
     def take(self, *, now: float) -> bool:
-        """Spend one request; return whether this entry's share had it."""
+        """Spend one request; return whether this entry's share allowed it."""
         return self._bucket.take(1, now=now)
 
     def wait_s(self, *, now: float) -> float:
--- a/packages/core/src/crowrudder_core/routing/_router.py
+++ b/packages/core/src/crowrudder_core/routing/_router.py
@@ -1,4 +1,4 @@
-"""Choose an agent from lagging reports and own outstanding attempts."""
+"""Choose an agent from lagging reports and this entry's own attempts."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 its cached prefixes."""
 
 SURE_OCCUPANCY = 0.5
-"""Share of its slots below which an agent is chosen without asking for its
+"""Share of an agent's slots up to which it is chosen without requesting its
 free slots."""
 
-MIN_PATIENCE_S = 0.5
-PATIENCE_FACTOR = 5.0
+MIN_HEDGE_DELAY_S = 0.5
+HEDGE_DELAY_FACTOR = 5.0
 
 
 @frozen(kw_only=True)
@@ -131,7 +131,7 @@
             if state.report.service == service and state.first_piece_s
         ]
         median_s = median(times) if times else 0.0
-        return max(MIN_PATIENCE_S, PATIENCE_FACTOR * median_s)
+        return max(MIN_HEDGE_DELAY_S, HEDGE_DELAY_FACTOR * median_s)
 
     def candidates(self, need: Need, *, now: float) -> list[str]:
         """Return the hosts that could serve, in no particular order."""
@@ -220,7 +220,7 @@
         pace_s: float,
         now: float,
     ) -> str | None:
-        """Return the first host in the prefix's order below the cost bound."""
+        """Return the first host in rendezvous order within the cost bound."""
         costs = {
             host: self.agents[host].cost(pace_s=pace_s, now=now)
             for host in hosts
