--- a/packages/core/src/crowrudder_core/membership/_list.py
+++ b/packages/core/src/crowrudder_core/membership/_list.py
@@ -15,7 +15,8 @@
     from crowrudder_model import Member
 
 MAX_RETAINED_LISTS = 16
-"""Number of past lists to which deltas are available; others get a full list."""
+"""Number of lists from which deltas are available; a peer with another list
+gets the complete one."""
 
 REBUILD_CONFIRM_S = 10.0
 """How long the platform must report a lower revision before it is accepted."""
@@ -105,7 +106,7 @@
         return True
 
     def delta_from(self, digest: str) -> MemberListDelta | None:
-        """Return the delta from the list that a peer has, None if it is unknown."""
+        """Return the delta from a peer's list; None if that is unknown."""
         base = self._retained.get(digest)
         return None if base is None else _delta(base, self.members)
 
--- a/packages/core/src/crowrudder_core/membership/_neighbours.py
+++ b/packages/core/src/crowrudder_core/membership/_neighbours.py
@@ -1,4 +1,4 @@
-"""Choice of the peers for gossip: few and stable, and every host is chosen."""
+"""Choice of gossip peers: few and stable, and every host is chosen."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
 
     The first is the successor in a hash ring of all hosts, so that every host
     is called by some other. The others are chosen by rendezvous hashing, which
-    makes the whole a random graph: updates cross thousands of hosts in a few
-    hops, and the failure of half of the hosts isolates none. A host that joins
-    or leaves changes the choice of few others, so that connections persist.
+    makes the graph of all calls random: updates cross thousands of hosts in a
+    few hops, and the failure of half of the hosts isolates none. A host that
+    joins or leaves changes the choice of few others, so that connections
+    persist.
 
     >>> neighbours_of('a', ['a', 'b'])
     ['b']
--- a/packages/core/src/crowrudder_core/membership/_own_status.py
+++ b/packages/core/src/crowrudder_core/membership/_own_status.py
@@ -67,15 +67,15 @@
         self._resolve_rival()
         return self.news != before
 
-    def on_status_received(self, news: ProcessStatus) -> bool:
-        """Apply a status of this host from a peer; return whether the own changed."""
+    def on_status_received(self, status: ProcessStatus) -> bool:
+        """Apply a peer's status of this host; return whether `news` changed."""
         before = self.news
-        if news.beat < self.beat or self._matches_own(news):
+        if status.beat < self.beat or self._matches_own(status):
             return False
-        if news.incarnation in {self.incarnation, ''}:
-            self.beat = news.beat + 1
+        if status.incarnation in {self.incarnation, ''}:
+            self.beat = status.beat + 1
         else:
-            self.rival_status = news
+            self.rival_status = status
             self._resolve_rival()
         return self.news != before
 
@@ -88,6 +88,6 @@
             self.beat = max(self.beat, self.rival_status.beat) + 1
             self.rival_status = None
 
-    def _matches_own(self, news: ProcessStatus) -> bool:
+    def _matches_own(self, status: ProcessStatus) -> bool:
         own = (self.incarnation, self.beat, self.state)
-        return own == (news.incarnation, news.beat, news.state)
+        return own == (status.incarnation, status.beat, status.state)
--- a/packages/core/src/crowrudder_core/membership/_partners.py
+++ b/packages/core/src/crowrudder_core/membership/_partners.py
@@ -61,11 +61,11 @@
 
 
 def split_by_region(
-    words: list[MemberStatus], region: str
+    statuses: list[MemberStatus], region: str
 ) -> tuple[list[str], list[str]]:
     """Return the IP addresses of the own region and of all others."""
-    near = [word.ip for word in words if word.region == region]
-    far = [word.ip for word in words if word.region != region]
+    near = [status.ip for status in statuses if status.region == region]
+    far = [status.ip for status in statuses if status.region != region]
     return near, far
 
 
@@ -84,27 +84,27 @@
     return ips if len(ips) <= count else random.sample(ips, count)
 
 
-def contacts(own: str, words: list[MemberStatus], region: str) -> list[str]:
+def contacts(own: str, statuses: list[MemberStatus], region: str) -> list[str]:
     """Return the entries with which an agent stays in contact.
 
-    The choice is stable while they live, and spread over the entries of the
+    The choice is stable while they run, and spread over the entries of the
     region, or over all entries if the region has none.
     """
-    near, far = split_by_region(words, region)
+    near, far = split_by_region(statuses, region)
     return ranked(f'contact|{own}', near or far)[:CONTACTS]
 
 
 def close_entries(own: str, near: list[str]) -> tuple[list[str], list[str]]:
     """Split the entries of a region into those close to an agent and others.
 
-    The choice is stable while they live, and spread over the entries of the
+    The choice is stable while they run, and spread over the entries of the
     region.
     """
     order = ranked(f'contact|{own}', near)
     return order[:CLOSE_ENTRIES], order[CLOSE_ENTRIES:]
 
 
-def relays(words: list[MemberStatus], region: str) -> list[str]:
+def relays(statuses: list[MemberStatus], region: str) -> list[str]:
     """Return the entries of a region that relay statuses for all of it."""
-    near, _ = split_by_region(words, region)
+    near, _ = split_by_region(statuses, region)
     return ranked(f'relay|{region}', near)[:RELAYS]
--- a/packages/core/src/crowrudder_core/membership/_roster.py
+++ b/packages/core/src/crowrudder_core/membership/_roster.py
@@ -40,14 +40,14 @@
 """Statuses of others in one heartbeat, which must fit into one datagram."""
 
 MAX_LAST_SEEN = 48
-"""The same for last-seen entries, of some 24 bytes each."""
+"""Last-seen entries in one heartbeat; each takes about 24 bytes."""
 
 _MS = 1000
 
 
 @define
 class _StatusRecord:
-    word: MemberStatus
+    status: MemberStatus
     last_seen_at: float
 
 
@@ -65,55 +65,57 @@
     _others: dict[str, _StatusRecord] = field(factory=dict)
 
     def on_status(
-        self, word: MemberStatus, age_s: float, *, now: float
+        self, status: MemberStatus, age_s: float, *, now: float
     ) -> bool:
         """Apply a status; return whether the process was unknown."""
-        if word.ip == self.own.ip and word.role == self.own.role:
+        if status.ip == self.own.ip and status.role == self.own.role:
             return False
-        if word.role != 'entry' or age_s > RETENTION_S:
+        if status.role != 'entry' or age_s > RETENTION_S:
             return False
         last_seen_at = now - max(age_s, 0)
-        known = self._others.get(word.ip)
-        if known is not None and not _supersedes(word, last_seen_at, known):
+        known = self._others.get(status.ip)
+        if known is not None and not _supersedes(status, last_seen_at, known):
             return False
-        self._others[word.ip] = _StatusRecord(word, last_seen_at)
+        self._others[status.ip] = _StatusRecord(status, last_seen_at)
         return known is None
 
-    def on_last_seen(self, sighting: LastSeen, *, now: float) -> bool:
-        """Apply a last-seen entry; return whether the full status is to be requested.
+    def on_last_seen(self, last_seen: LastSeen, *, now: float) -> bool:
+        """Apply a last-seen entry; return whether to request the full status.
 
-        This is so if the status is unknown here, because the entry is new or
-        has restarted.
+        The status is unknown here if the entry is new or has restarted.
         """
-        if sighting.ip == self.own.ip and self.own.role == 'entry':
+        if last_seen.ip == self.own.ip and self.own.role == 'entry':
             return False
-        last_seen_at = now - max(sighting.age_ms, 0) / _MS
-        known = self._others.get(sighting.ip)
-        if known is None or incarnation_hash(known.word) != sighting.life:
+        last_seen_at = now - max(last_seen.age_ms, 0) / _MS
+        known = self._others.get(last_seen.ip)
+        if known is None or incarnation_hash(known.status) != last_seen.life:
             is_later = known is None or last_seen_at > known.last_seen_at
             return is_later and now - last_seen_at <= self._liveness_timeout_s
         if last_seen_at > known.last_seen_at:
-            word = replace(
-                known.word, ready=sighting.ready, leaving=sighting.leaving
+            status = replace(
+                known.status, ready=last_seen.ready, leaving=last_seen.leaving
             )
-            self._others[sighting.ip] = _StatusRecord(word, last_seen_at)
+            self._others[last_seen.ip] = _StatusRecord(status, last_seen_at)
         return False
 
     def last_seen_entries(
         self, random: Random, *, now: float, region: str | None = None
     ) -> tuple[LastSeen, ...]:
-        """Return a sample of last-seen entries of live entries, or of a region's."""
+        """Return a random sample of last-seen entries of live processes.
+
+        ``region`` restricts it to the processes of a region.
+        """
         live = [
             record
             for record in self._live(now)
-            if region is None or record.word.region == region
+            if region is None or record.status.region == region
         ]
         sampled = random.sample(live, min(len(live), MAX_LAST_SEEN))
         return tuple(_last_seen_entry(record, now) for record in sampled)
 
     def entries(self, *, now: float) -> list[MemberStatus]:
         """Return the live entries, including the own process."""
-        live = [record.word for record in self._live(now)]
+        live = [record.status for record in self._live(now)]
         return [self.own, *live] if self.own.role == 'entry' else live
 
     def known(self, *, now: float) -> list[MemberStatus]:
@@ -123,11 +125,11 @@
             for ip, record in self._others.items()
             if now - record.last_seen_at <= RETENTION_S
         }
-        return [record.word for record in self._others.values()]
+        return [record.status for record in self._others.values()]
 
     def knows(self, ip: str, *, now: float) -> bool:
         """Return whether a host is another entry that hasn't expired."""
-        return any(word.ip == ip for word in self.known(now=now))
+        return any(status.ip == ip for status in self.known(now=now))
 
     def budget_share(self, *, now: float) -> float:
         """Return this entry's share of the budget of all entries.
@@ -144,7 +146,7 @@
         live = self._live(now)
         sampled = random.sample(live, min(len(live), MAX_FORWARDED))
         return tuple(
-            ForwardedStatus(record.word, now - record.last_seen_at)
+            ForwardedStatus(record.status, now - record.last_seen_at)
             for record in sampled
         )
 
@@ -168,19 +170,19 @@
 
 
 def _last_seen_entry(record: _StatusRecord, now: float) -> LastSeen:
-    word = record.word
+    status = record.status
     return LastSeen(
-        ip=word.ip,
-        life=incarnation_hash(word),
+        ip=status.ip,
+        life=incarnation_hash(status),
         age_ms=int(max(now - record.last_seen_at, 0) * _MS),
-        ready=word.ready,
-        leaving=word.leaving,
+        ready=status.ready,
+        leaving=status.leaving,
     )
 
 
 def _supersedes(
-    word: MemberStatus, last_seen_at: float, known: _StatusRecord
+    status: MemberStatus, last_seen_at: float, known: _StatusRecord
 ) -> bool:
-    if word.incarnation != known.word.incarnation:
-        return word.started_at > known.word.started_at
+    if status.incarnation != known.status.incarnation:
+        return status.started_at > known.status.started_at
     return last_seen_at > known.last_seen_at
--- a/packages/core/src/crowrudder_core/membership/_view.py
+++ b/packages/core/src/crowrudder_core/membership/_view.py
@@ -30,9 +30,9 @@
 class UpdateResult:
     """Effect of a status update on the view.
 
-    ``has_changed`` tells that the view changed, ``is_urgent`` that others are to be
-    notified at once: a leaving process must get no new work. Suspicions wait
-    for the next exchange, because a broken link causes hundreds of them.
+    ``has_changed`` is set if the view changed, ``is_urgent`` if others are to
+    be notified at once: a leaving process must get no new work. Suspicions
+    wait for the next exchange, because a broken link causes hundreds of them.
     """
 
     has_changed: bool = False
@@ -41,7 +41,7 @@
 
 @define
 class _StatusRecord:
-    news: ProcessStatus
+    status: ProcessStatus
     send_count: int = 0
 
 
@@ -68,15 +68,15 @@
         )
 
     def suspects(self) -> frozenset[str]:
-        """Return the hosts that may be dead; others are preferred where possible."""
+        """Return the hosts that may be dead; others are preferred."""
         return frozenset(
             host
             for host, record in self._records.items()
-            if record.news.state == 'suspect'
+            if record.status.state == 'suspect'
         )
 
     def on_list(self) -> bool:
-        """Apply a new list to the own status; return whether the status changed."""
+        """Apply a new list to the own status; return whether that changed."""
         own = next(
             (
                 member.rpc_address
@@ -87,19 +87,19 @@
         )
         return self.own.on_address_listed(own)
 
-    def on_update(self, news: ProcessStatus) -> UpdateResult:
+    def on_update(self, status: ProcessStatus) -> UpdateResult:
         """Apply a status of this process or of a peer."""
-        if news.host == self.own.host:
+        if status.host == self.own.host:
             before = self.own.state
-            changed = self.own.on_status_received(news)
+            changed = self.own.on_status_received(status)
             return UpdateResult(
                 has_changed=changed, is_urgent=before != self.own.state
             )
-        known = self._records.get(news.host)
-        if known is not None and not _supersedes(news, known.news):
+        known = self._records.get(status.host)
+        if known is not None and not _supersedes(status, known.status):
             return UpdateResult()
-        states = {known.news.state if known else 'live', news.state}
-        self._record(news)
+        states = {known.status.state if known else 'live', status.state}
+        self._record(status)
         return UpdateResult(
             has_changed=len(states) > 1,
             is_urgent=len(states) > 1 and 'leaving' in states,
@@ -115,15 +115,15 @@
         self._failure_counts[host] = failures
         known = self._records.get(host)
         if failures < FAILURES_TO_SUSPECT or (
-            known and known.news.state != 'live'
+            known and known.status.state != 'live'
         ):
             return UpdateResult()
-        status = known.news if known else None
+        known_status = known.status if known else None
         self._record(
             ProcessStatus(
                 host=host,
-                incarnation=status.incarnation if status else '',
-                beat=status.beat if status else 0,
+                incarnation=known_status.incarnation if known_status else '',
+                beat=known_status.beat if known_status else 0,
                 state='suspect',
             )
         )
@@ -140,7 +140,7 @@
         about_peer = self._records.get(peer)
         chosen = (
             [about_peer]
-            if about_peer and about_peer.news.state != 'live'
+            if about_peer and about_peer.status.state != 'live'
             else []
         )
         for pending in self._least_sent(
@@ -148,7 +148,7 @@
         ):
             pending.send_count += 1
             chosen.append(pending)
-        return tuple(record.news for record in chosen)
+        return tuple(record.status for record in chosen)
 
     def _least_sent(
         self, count: int, about_peer: _StatusRecord | None
@@ -161,9 +161,9 @@
         )
         return sorted(pending, key=lambda record: record.send_count)[:count]
 
-    def _record(self, news: ProcessStatus) -> None:
-        self._records.pop(news.host, None)
-        self._records[news.host] = _StatusRecord(news)
+    def _record(self, status: ProcessStatus) -> None:
+        self._records.pop(status.host, None)
+        self._records[status.host] = _StatusRecord(status)
         if len(self._records) > MAX_STATUSES:
             self._evict()
 
@@ -178,14 +178,14 @@
             is_leaving = self.own.state == 'leaving'
         else:
             record = self._records.get(member.host)
-            is_leaving = record is not None and record.news.state == 'leaving'
+            is_leaving = record is not None and record.status.state == 'leaving'
         if not is_leaving or member.state == 'leaving':
             return member
         return attrs.evolve(member, state='leaving')
 
 
-def _supersedes(news: ProcessStatus, known: ProcessStatus) -> bool:
+def _supersedes(status: ProcessStatus, known: ProcessStatus) -> bool:
     """Return whether a status is newer, or more severe with an equal number."""
-    if news.beat != known.beat:
-        return news.beat > known.beat
-    return _SEVERITY[news.state] > _SEVERITY[known.state]
+    if status.beat != known.beat:
+        return status.beat > known.beat
+    return _SEVERITY[status.state] > _SEVERITY[known.state]
--- a/packages/core/src/crowrudder_core/quarantine/_digest.py
+++ b/packages/core/src/crowrudder_core/quarantine/_digest.py
@@ -28,11 +28,11 @@
 
     Example
     -------
-    >>> asked = {'method': 'POST', 'host': 'h', 'target': '/a', 'body': b'x'}
-    >>> own = request_digest(customer='shop', **asked)
-    >>> own == request_digest(customer='shop', **asked)
+    >>> request = {'method': 'POST', 'host': 'h', 'target': '/a', 'body': b'x'}
+    >>> own = request_digest(customer='shop', **request)
+    >>> own == request_digest(customer='shop', **request)
     True
-    >>> own == request_digest(customer='bank', **asked)
+    >>> own == request_digest(customer='bank', **request)
     False
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
--- a/packages/core/src/crowrudder_core/quarantine/_quarantine.py
+++ b/packages/core/src/crowrudder_core/quarantine/_quarantine.py
@@ -129,19 +129,19 @@
         """Record that a quarantined request arrived again and was refused."""
         self._ledger.get_or_create(digest, now=now).refused_at = now
 
-    def on_update(self, news: SuspicionUpdate, *, now: float) -> list[Effect]:
-        """Apply reports of another entry; forward those that change the weight."""
+    def on_update(self, update: SuspicionUpdate, *, now: float) -> list[Effect]:
+        """Apply another entry's reports; forward those that change a weight."""
         effects: list[Effect] = []
-        for word in news.words[:MAX_REPORTS]:
-            suspect = self._ledger.get_or_create(word.digest, now=now)
+        for report in update.words[:MAX_REPORTS]:
+            suspect = self._ledger.get_or_create(report.digest, now=now)
             reported = Suspect()
-            reported.on_report(word, now=now)
+            reported.on_report(report, now=now)
             before = suspect.weight
-            has_changed = suspect.on_report(word, now=now)
+            has_changed = suspect.on_report(report, now=now)
             if not has_changed and reported.weight > suspect.weight:
                 # The sender lacks a completed run that is known here.
                 before = reported.weight
-            effects += _effects(word.digest, suspect, before, now)
+            effects += _effects(report.digest, suspect, before, now)
         return [each for each in effects if not _is_for_owners(each)]
 
     def sample_reports(
@@ -159,7 +159,7 @@
         sampled = random.sample(
             shared_suspects, min(len(shared_suspects), MAX_REPORTS)
         )
-        return [suspect.word(digest, now=now) for digest, suspect in sampled]
+        return [suspect.report(digest, now=now) for digest, suspect in sampled]
 
 
 def owners(digest: int, entry_ips: Iterable[str]) -> list[str]:
@@ -176,7 +176,7 @@
     is_for_partners = max(weight, before) >= SHARING_THRESHOLD
     audience = Audience.PARTNERS if is_for_partners else Audience.OWNERS
     effects: list[Effect] = [
-        SendSuspicion(suspect.word(digest, now=now), audience)
+        SendSuspicion(suspect.report(digest, now=now), audience)
     ]
     if before < QUARANTINE_THRESHOLD <= weight:
         effects.append(Quarantined(digest, tuple(suspect.ends)))
--- a/packages/core/src/crowrudder_core/quarantine/_suspect.py
+++ b/packages/core/src/crowrudder_core/quarantine/_suspect.py
@@ -28,10 +28,12 @@
 """How long ends count that don't lead to quarantine."""
 
 QUARANTINE_S = 600.0
-"""How long quarantine lasts after the last end or refusal, whichever is later."""
+"""How long quarantine lasts after the last end or the last refusal, whichever
+is later."""
 
 MAX_ENDS = 8
-"""Maximum number of ends per request; six of the lowest weight quarantine it."""
+"""Maximum number of ends per request; six of the lowest weight suffice for
+quarantine."""
 
 MAX_INCARNATION_CHARS = 64
 _MS = 1000
@@ -41,7 +43,7 @@
 class End:
     """End of an upstream incarnation under a request.
 
-    ``is_fresh`` tells that the run had just started.
+    ``is_fresh`` is set if the run had just started.
     """
 
     at: float
@@ -82,41 +84,41 @@
             return now - max(last, self.refused_at) > QUARANTINE_S
         return now - last > SUSPICION_S
 
-    def on_end(self, life: str, end: End) -> bool:
+    def on_end(self, incarnation: str, end: End) -> bool:
         """Record the end of an upstream; return whether it is new."""
-        known = self.ends.get(life)
+        known = self.ends.get(incarnation)
         if known is None:
             is_new = len(self.ends) < MAX_ENDS
         else:
             is_new = end.is_fresh and not known.is_fresh
         if is_new:
-            self.ends[life] = end
+            self.ends[incarnation] = end
         return is_new
 
     def on_run_completed(self, at: float) -> None:
         """Record a completed run and drop the ends that it clears."""
         self.completed_at = max(self.completed_at, at)
         self.ends = {
-            life: end
-            for life, end in self.ends.items()
+            incarnation: end
+            for incarnation, end in self.ends.items()
             if end.at > self.completed_at + COMPLETED_RUN_WINDOW_S
         }
 
-    def on_report(self, word: SuspicionReport, *, now: float) -> bool:
+    def on_report(self, report: SuspicionReport, *, now: float) -> bool:
         """Merge another entry's report; return whether the weight changed."""
         before = self.weight
-        if word.refused_ms >= 0:
-            refused_at = now - word.refused_ms / _MS
+        if report.refused_ms >= 0:
+            refused_at = now - report.refused_ms / _MS
             self.refused_at = max(self.refused_at, refused_at)
-        for received in word.ends[:MAX_ENDS]:
+        for received in report.ends[:MAX_ENDS]:
             if 0 <= received.ended_ms <= QUARANTINE_S * _MS:
                 end = End(now - received.ended_ms / _MS, received.is_fresh)
                 self.on_end(received.life[:MAX_INCARNATION_CHARS], end)
-        if word.completed_ms >= 0:
-            self.on_run_completed(now - word.completed_ms / _MS)
+        if report.completed_ms >= 0:
+            self.on_run_completed(now - report.completed_ms / _MS)
         return self.weight != before
 
-    def word(self, digest: int, *, now: float) -> SuspicionReport:
+    def report(self, digest: int, *, now: float) -> SuspicionReport:
         """Return the report for other entries."""
         ends = tuple(
             IncarnationEnd(incarnation, _age_ms(end.at, now), end.is_fresh)
--- a/packages/core/src/crowrudder_core/quarantine/_unconfirmed.py
+++ b/packages/core/src/crowrudder_core/quarantine/_unconfirmed.py
@@ -7,7 +7,7 @@
 from crowrudder_core.quarantine._suspect import FRESH_RUN_S, End
 
 ALIVE_AFTER_S = 0.5
-"""A sign of life this long after a close clears the upstream's runs.
+"""An upstream known to be alive this long after a close has its runs cleared.
 
 An agent reports that its engine is gone after two reads without an answer."""
 
--- a/packages/core/src/crowrudder_core/requests/_admission.py
+++ b/packages/core/src/crowrudder_core/requests/_admission.py
@@ -11,7 +11,8 @@
 
 SMOOTHING_FACTOR = 0.1
 RUN_MARGIN_FACTOR = 1.1
-"""A run starts only if the time left is this multiple of its estimated duration."""
+"""A run starts only if more time is left than this multiple of its estimated
+duration."""
 
 
 @define
@@ -99,7 +100,7 @@
         return now + wait_s + self._run_s(item) < item.deadline
 
     def add(self, item: Waiting) -> AttemptKey | None:
-        """Enqueue an attempt; return the one that a full queue drops, if any."""
+        """Enqueue an attempt; return the one dropped from a full queue."""
         return self.queue.push(item)
 
     def next(self, *, now: float) -> Start | DeadlineUnreachable | None:
--- a/packages/core/src/crowrudder_core/requests/_claims.py
+++ b/packages/core/src/crowrudder_core/requests/_claims.py
@@ -39,11 +39,11 @@
 
     Example
     -------
-    >>> book = ClaimRegistry()
+    >>> registry = ClaimRegistry()
     >>> request = ClaimRequest(request_id='r', owner='e1', serial=1, keep_s=9.0)
-    >>> book.claim(request, now=0.0)
+    >>> registry.claim(request, now=0.0)
     <ClaimState.GRANTED: 'granted'>
-    >>> book.claim(evolve(request, owner='e2'), now=1.0)
+    >>> registry.claim(evolve(request, owner='e2'), now=1.0)
     <ClaimState.TAKEN: 'taken'>
     """
 
@@ -88,7 +88,7 @@
         )
 
     def held(self, *, now: float) -> list[HeldClaim]:
-        """Return the claims to transfer to other voters when this one leaves."""
+        """Return the claims to transfer when this voter leaves."""
         return [
             HeldClaim(
                 request_id=request_id,
@@ -106,7 +106,7 @@
         Existing claims stay unless they were released; their expiry is only
         ever extended.
         """
-        kept = 0
+        added = 0
         for claim in claims:
             known = self._known(claim.request_id, now)
             until = now + claim.keep_s
@@ -116,10 +116,10 @@
                     serial=claim.serial,
                     until=until,
                 )
-                kept += 1
+                added += 1
             longest = max(known.until, until)
             self._records[claim.request_id] = evolve(known, until=longest)
-        return kept
+        return added
 
     def forget(self, *, now: float) -> int:
         """Drop expired records; return the number dropped."""
@@ -178,18 +178,18 @@
 
     Example
     -------
-    >>> count = ClaimTally(('a', 'b'))
-    >>> count.take('a', ClaimState.GRANTED)
-    <Vote.OPEN: 'open'>
-    >>> count.take('b', ClaimState.GRANTED)
-    <Vote.HELD: 'held'>
+    >>> tally = ClaimTally(('a', 'b'))
+    >>> tally.take('a', ClaimState.GRANTED)
+    <ClaimResult.OPEN: 'open'>
+    >>> tally.take('b', ClaimState.GRANTED)
+    <ClaimResult.HELD: 'held'>
     """
 
     voters: tuple[str, ...]
     _answers: dict[str, ClaimState] = field(factory=dict, init=False)
 
     def take(self, voter: str, state: ClaimState) -> ClaimResult:
-        """Record a voter's answer; a second one of the same voter is ignored."""
+        """Record a voter's first answer; ignore further ones."""
         if voter in self.voters:
             self._answers.setdefault(voter, state)
         return self.vote
@@ -215,7 +215,7 @@
         return ClaimResult.CONTENDED if taken else ClaimResult.OUT_OF_REACH
 
     def close(self) -> ClaimResult:
-        """Count every voter without an answer as abstained; return the result."""
+        """Count voters without an answer as abstained; return the result."""
         for voter in self.voters:
             self.take(voter, ClaimState.ABSTAINED)
         return self.vote
--- a/packages/core/src/crowrudder_core/requests/_ledger.py
+++ b/packages/core/src/crowrudder_core/requests/_ledger.py
@@ -79,7 +79,7 @@
         return None
 
     def request_permit(self, key: AttemptKey, *, now: float) -> bool:
-        """Record that a permit is requested; false if it may not be requested."""
+        """Record that a permit is requested; return whether it may be."""
         record = self.records[key]
         if record.stage is not Stage.QUEUED or now >= record.deadline:
             return False
@@ -98,7 +98,7 @@
         return True
 
     def start(self, key: AttemptKey, *, now: float) -> bool:
-        """Record the start of the attempt; false if it may not start.
+        """Record the start of the attempt; return whether it may start.
 
         A start can't be undone. A process that is paused between permit and
         start resumes with an outdated permit, and the attempt would run after
@@ -135,7 +135,7 @@
         self._end(self.records[key], Stage.FINISHED, now)
 
     def refuse(self, key: AttemptKey, *, now: float) -> None:
-        """Record that the attempt never starts; no effect once it has started."""
+        """Record that the attempt never starts, unless it has started."""
         record = self.records[key]
         if record.stage < Stage.STARTED:
             self._end(record, Stage.REFUSED, now)
@@ -162,7 +162,10 @@
         return SettledState.NEVER_STARTS
 
     def forget(self, *, now: float) -> int:
-        """Drop attempts that ended more than `ATTEMPT_RETENTION_S` ago; return their number."""
+        """Drop attempts that ended more than `ATTEMPT_RETENTION_S` ago.
+
+        Return their number.
+        """
         expired = [
             key
             for key, record in self.records.items()
--- a/packages/core/src/crowrudder_core/requests/_queue.py
+++ b/packages/core/src/crowrudder_core/requests/_queue.py
@@ -48,15 +48,15 @@
     """Work done for one customer, with exponential decay."""
 
     amount: float = 0
-    at: float = 0
+    updated_at: float = 0
 
     def read(self, now: float) -> float:
-        elapsed_s = max(now - self.at, 0)
+        elapsed_s = max(now - self.updated_at, 0)
         return self.amount * math.exp(-elapsed_s / USAGE_DECAY_S)
 
     def add(self, cost: float, now: float) -> None:
         self.amount = self.read(now) + cost
-        self.at = now
+        self.updated_at = now
 
 
 @define
--- a/packages/core/src/crowrudder_core/requests/_voters.py
+++ b/packages/core/src/crowrudder_core/requests/_voters.py
@@ -42,8 +42,8 @@
     True
     """
     domains: defaultdict[str, list[str]] = defaultdict(list)
-    for place in candidates:
-        domains[place.failure_domain].append(place.host)
+    for candidate in candidates:
+        domains[candidate.failure_domain].append(candidate.host)
     columns = [
         ranked(request_id, domains[domain])
         for domain in ranked(request_id, domains)
