--- a/packages/core/src/crowrudder_core/catalog/_reading.py
+++ b/packages/core/src/crowrudder_core/catalog/_reading.py
@@ -92,7 +92,7 @@
 
 @define
 class StoreReadPolicy:
-    """Let a few processes read the platform, and others when these fail.
+    """Let a few processes read the platform, and others if these fail.
 
     The platform may refuse a few hosts and serve the rest. If the refused
     hosts were the only readers, a change would come into force nowhere, while
@@ -139,7 +139,7 @@
         self.joins_at = now + WATCH_START_DELAY_S
 
     def on_informed(self) -> None:
-        """Record that records arrived from any source.
+        """Record the arrival of published records from any source.
 
         They are complete up to their revision, so a watch can start there.
         """
@@ -233,7 +233,7 @@
 
     @property
     def batch_pause_s(self) -> float:
-        """Return the pause between an answer with changes and the next watch."""
+        """Pause between an answer with changes and the next watch."""
         return BATCH_PAUSES_S[min(self.rank, WATCHERS - 1)]
 
     def _takes_over(self, now: float) -> bool:
--- a/packages/core/src/crowrudder_core/catalog/_view.py
+++ b/packages/core/src/crowrudder_core/catalog/_view.py
@@ -49,7 +49,7 @@
 
     Parameters
     ----------
-    version_window_s, free_until
+    version_window_s, enforced_from
         See `Releases`.
     """
 
--- a/packages/core/src/crowrudder_core/catalog/_watch_ages.py
+++ b/packages/core/src/crowrudder_core/catalog/_watch_ages.py
@@ -38,13 +38,13 @@
         """Record that this process doesn't watch."""
         self.known_until = None
 
-    def on_listed(self, asked_at: float) -> None:
+    def on_listed(self, requested_at: float) -> None:
         """Record a list, which is complete up to its first page's request."""
-        self.known_until = asked_at
+        self.known_until = requested_at
 
     def on_answer(
         self,
-        asked_at: float,
+        requested_at: float,
         now: float,
         *,
         wait_s: float,
@@ -56,13 +56,13 @@
         An empty answer was sent after the wait, however late it is read.
         """
         if has_changes and not is_punctual:
-            self.known_until = asked_at
+            self.known_until = requested_at
         else:
-            self.known_until = min(now, asked_at + wait_s)
+            self.known_until = min(now, requested_at + wait_s)
 
     def published_since(
         self,
-        asked_at: float,
+        requested_at: float,
         now: float,
         *,
         confirmed_at: float,
@@ -90,6 +90,6 @@
         )
         if not is_punctual:
             return min(known_until, now)
-        if now - asked_at > IMMEDIATE_ANSWER_S:
+        if now - requested_at > IMMEDIATE_ANSWER_S:
             return now
         return min(max(known_until, returned_at), now)
--- a/packages/core/src/crowrudder_core/config/_reading.py
+++ b/packages/core/src/crowrudder_core/config/_reading.py
@@ -20,10 +20,10 @@
 """Processes of a failure domain that hold a watch at the platform."""
 
 PEER_SILENCE_TIMEOUT_S = 6.0
-"""Time without a message from any peer until a process polls the platform."""
+"""Time without a message from any peer after which a process polls."""
 
 STALE_READ_S = 20.0
-"""Age of the last reading by any process at which others take over."""
+"""Age of the last read by any process above which others take over."""
 
 RANK_GROUP_DELAY_S = 2.0
 """Additional delay until the next three ranks of a failure domain take over."""
@@ -68,7 +68,7 @@
 
 @define
 class PlatformReadPolicy:
-    """Keep the platform read with a bounded number of calls.
+    """Have the platform read regularly with a bounded number of calls.
 
     The platform accepts a limited number of calls from the whole fleet, and
     with a watch by each process all their next calls would fall into the
@@ -76,7 +76,7 @@
     If the watchers of every domain die, hang, or can't reach the platform, no
     change would come into force any more, though all hosts communicate
     normally. Therefore each message between processes carries the age of the
-    last reading known to its sender, and when this age is high everywhere,
+    last read known to its sender, and when this age is high everywhere,
     others take over by rank.
 
     Times are seconds of one monotonic clock.
@@ -100,7 +100,7 @@
         self.rank = order.index(self.host) if self.host in order else None
 
     def on_peer_report(self, age_s: float, now: float) -> None:
-        """Record a peer's message with the age of the last reading it knows."""
+        """Record a peer's message with the age of the last read it knows."""
         self.peer_seen_at = now
         self.read_at = max(self.read_at, now - max(age_s, 0))
 
@@ -114,7 +114,7 @@
         self.failures += 1
 
     def age_s(self, now: float) -> float:
-        """Return the age of the last reading known to this process."""
+        """Return the age of the last read known to this process."""
         return now - max(self.read_at, self.started_at)
 
     def mode(self, now: float) -> ReadingMode:
--- a/packages/core/src/crowrudder_core/transfer/_hosts.py
+++ b/packages/core/src/crowrudder_core/transfer/_hosts.py
@@ -36,7 +36,9 @@
     host: str
     places: Mapping[str, Place] = field(factory=dict)
     _ranks: dict[str, int] = field(factory=dict, init=False)
-    _part_numbers: dict[str, dict[str, int]] = field(factory=dict, init=False)
+    _layer_range_numbers: dict[str, dict[str, int]] = field(
+        factory=dict, init=False
+    )
 
     def on_hosts(self, places: Mapping[str, Place]) -> None:
         """Update the host list, which includes this host."""
@@ -44,7 +46,7 @@
             return
         self.places = places
         self._ranks.clear()
-        self._part_numbers.clear()
+        self._layer_range_numbers.clear()
 
     @property
     def others_by_region(self) -> tuple[list[str], list[str]]:
@@ -71,9 +73,9 @@
         return self._ranks[version]
 
     def part(self, version: str) -> int:
-        """Return the number of the layer range that this host collects first."""
-        if version not in self._part_numbers:
-            self._part_numbers[version] = assign_layer_ranges(
+        """Return the number of the layer range to collect first."""
+        if version not in self._layer_range_numbers:
+            self._layer_range_numbers[version] = assign_layer_ranges(
                 version, self.places
             )
-        return self._part_numbers[version][self.host]
+        return self._layer_range_numbers[version][self.host]
--- a/packages/core/src/crowrudder_core/transfer/_inbound_link.py
+++ b/packages/core/src/crowrudder_core/transfer/_inbound_link.py
@@ -7,10 +7,10 @@
 from attrs import define, field
 
 WINDOW_S = 0.5
-"""Time over which the received bytes are compared with the link rate, seconds."""
+"""Time in seconds over which received bytes are compared with the link rate."""
 
 NARROW_HOLD_S = 2.0
-"""Time after which several concurrent reads are tried again, seconds."""
+"""Time in seconds after which several concurrent reads are tried again."""
 
 
 @define
--- a/packages/core/src/crowrudder_core/transfer/_origin.py
+++ b/packages/core/src/crowrudder_core/transfer/_origin.py
@@ -111,12 +111,12 @@
 
     @property
     def is_seed(self) -> bool:
-        """Return whether this host may read from the origin."""
+        """Whether this host may read from the origin."""
         return self.host in self.seeds
 
     @property
     def share(self) -> int:
-        """Number of chunks that this host may read from the origin in a window."""
+        """Number of chunks that this host may read in a window."""
         return max(SHARED_COPIES * self.count // max(len(self.seeds), 1), 1)
 
     @property
@@ -188,7 +188,7 @@
     def _chunk_groups(
         self, places: Mapping[str, Place]
     ) -> list[frozenset[str]]:
-        """Return the hosts that collect each chunk first, see `assign_layer_ranges`."""
+        """Return for each chunk the hosts that collect its layer range first."""
         numbers = assign_layer_ranges(self.version, places)
         count = layer_range_count(len(places))
         groups = [
@@ -229,11 +229,11 @@
 
     @property
     def is_failing(self) -> bool:
-        """Return whether the last read from the origin failed."""
+        """Whether the last read from the origin failed."""
         return self._retry_wait_s > 0
 
     def on_delivered(self) -> None:
-        """Reset the retry wait and the passed chunks, as the origin delivered."""
+        """Reset the retry wait and the passed chunks: the origin delivered."""
         self._retry_wait_s = 0
         self.failed = 0
 
@@ -271,7 +271,7 @@
 
     @property
     def is_manifest_suspect(self) -> bool:
-        """Return whether a chunk repeatedly mismatched the manifest.
+        """Whether a chunk repeatedly mismatched the manifest.
 
         Either may be wrong: the manifest came from the same origin.
         """
@@ -281,7 +281,7 @@
         )
 
     def on_manifest_reread(self) -> None:
-        """Reset the counts of corrupted reads, as the manifest is read again."""
+        """Reset the counts of corrupted reads: the manifest is read again."""
         self._corrupted_reads.clear()
 
     def may_ask(self, now: float) -> bool:
--- a/packages/core/src/crowrudder_core/transfer/_peers.py
+++ b/packages/core/src/crowrudder_core/transfer/_peers.py
@@ -93,17 +93,17 @@
 
     @property
     def suspected(self) -> bool:
-        """Return whether it counts as failed until it answers again."""
+        """Whether it counts as failed until it answers again."""
         return self.failures >= SUSPECT_AFTER_FAILURES
 
     @property
     def banned(self) -> bool:
-        """Return whether it sent too many corrupted chunks."""
+        """Whether it sent too many corrupted chunks."""
         return self.corrupted_chunks >= MAX_CORRUPTED_CHUNKS
 
     @property
     def is_skipped(self) -> bool:
-        """Return whether other hosts replace it as a reader of the origin."""
+        """Whether other hosts replace it as a reader of the origin."""
         return (
             self.suspected
             or self.banned
@@ -153,19 +153,19 @@
         self._preference = _preference_order(self.host, self.peers)
         self.revision += 1
 
-    def on_inventory(self, stock: PeerInventory, now: float) -> None:
+    def on_inventory(self, inventory: PeerInventory, now: float) -> None:
         """Record the inventory that a peer reported."""
-        peer = self.peers.get(stock.host)
+        peer = self.peers.get(inventory.host)
         if peer is None:
             return
         before = (peer.is_skipped, peer.passes)
         peer.failures = 0
         peer.has_answered = True
-        peer.chunks = stock.chunks
-        peer.passes = stock.passes
-        peer.busy = stock.busy
-        peer.slots = stock.slots
-        peer.not_participating = not stock.wants
+        peer.chunks = inventory.chunks
+        peer.passes = inventory.passes
+        peer.busy = inventory.busy
+        peer.slots = inventory.slots
+        peer.not_participating = not inventory.wants
         peer.query_at = now + self.pace.poll_s
         self._update_revision(before, peer)
 
@@ -235,12 +235,12 @@
         return peer is not None and peer.is_skipped
 
     def has_passed(self, host: str, index: int) -> bool:
-        """Return whether a host leaves a chunk to the next reader of the origin."""
+        """Return whether a host leaves a chunk to the next reader."""
         peer = self.peers.get(host)
         return peer is not None and bool(peer.passes >> index & 1)
 
     def passes_all(self, host: str, count: int) -> bool:
-        """Return whether a host leaves all chunks to other readers of the origin."""
+        """Return whether a host leaves all chunks to other readers."""
         peer = self.peers.get(host)
         return peer is not None and peer.passes.bit_count() >= count
 
@@ -254,7 +254,7 @@
         return OriginReason.UNHEARD
 
     def count_incomplete(self, count: int) -> int:
-        """Return the number of responsive hosts that reported missing chunks."""
+        """Count the responsive hosts that reported missing chunks."""
         return sum(
             peer.has_answered
             and not (peer.suspected or peer.not_participating)
--- a/packages/core/src/crowrudder_core/transfer/_planner.py
+++ b/packages/core/src/crowrudder_core/transfer/_planner.py
@@ -118,7 +118,7 @@
     random: Random,
     order: ChunkOrder = ChunkOrder.RAREST,
 ) -> list[Read]:
-    """Return up to ``free_slots`` reads to start now, those from the origin first.
+    """Return up to ``free_slots`` reads to start now, from the origin first.
 
     A chunk that some reachable host holds is never read from the origin.
     """
--- a/packages/core/src/crowrudder_core/transfer/_store.py
+++ b/packages/core/src/crowrudder_core/transfer/_store.py
@@ -51,7 +51,8 @@
         Raises
         ------
         NoRoomError
-            If together they exceed the limit; the wanted versions are unchanged.
+            If together they exceed the limit; the wanted versions stay as
+            before.
         """
         sizes: dict[str, int] = {}
         for manifest in manifests:
--- a/packages/core/src/crowrudder_core/transfer/_transfer.py
+++ b/packages/core/src/crowrudder_core/transfer/_transfer.py
@@ -147,7 +147,7 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether every chunk is held."""
+        """Whether every chunk is held."""
         return self.held == full(self.count)
 
     @property
@@ -165,26 +165,26 @@
 
     @property
     def is_sound(self) -> bool:
-        """Return whether it is not dropped and all held chunks are stored."""
+        """Whether it is not dropped and all held chunks are stored."""
         return not self.dropped and self.held == self.servable_chunks
 
     def chunk(self, index: int) -> bytes | None:
-        """Return a chunk's bytes if this host holds it verified, otherwise None."""
+        """Return a verified chunk's bytes; None if this host doesn't hold it."""
         if not self.held >> index & 1:
             return None
         return self.store.get(self.manifest.chunks[index])
 
     def on_hosts(self, places: Mapping[str, Place]) -> None:
-        """Update the hosts that should hold this version, including this one."""
+        """Update the hosts, including this one, that should hold the version."""
         if places == self._places:
             return
         self._places = places
         self.peers.on_hosts(places)
         self.origin.on_hosts(places)
 
-    def on_inventory(self, stock: PeerInventory, *, now: float) -> None:
+    def on_inventory(self, inventory: PeerInventory, *, now: float) -> None:
         """Record the inventory that a peer reported."""
-        self.peers.on_inventory(stock, now)
+        self.peers.on_inventory(inventory, now)
 
     def on_no_answer(self, host: str, *, now: float) -> None:
         """Record that a peer did not answer."""
@@ -202,7 +202,7 @@
         self.inbound_link.on_reads(len(self.in_flight), now=now)
         max_reads = _reads_at_once(self.pace, self.yields_to)
         if self.inbound_link.is_narrow(now):
-            # Sources may be silent as well: one read continues beside those.
+            # Silent reads may be due to their sources: another one may run.
             max_reads = 1 + min(
                 _count_silent(self.in_flight, now - self.pace.stall_s),
                 MAX_SILENT_READS,
--- a/packages/core/src/crowrudder_core/transfer/_unassigned_reads.py
+++ b/packages/core/src/crowrudder_core/transfer/_unassigned_reads.py
@@ -59,7 +59,7 @@
 
     @property
     def needs_uplinks(self) -> bool:
-        """Return whether hosts with the complete version are in the minority.
+        """Whether hosts with the complete version are in the minority.
 
         Each complete host can supply one other host over its uplink, so a
         single host that joins gains nothing from the origin. Hosts that have
