--- a/packages/model/src/crowrudder_model/messages/_gossip.py
+++ b/packages/model/src/crowrudder_model/messages/_gossip.py
@@ -20,7 +20,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True):
-    """The status that a process sends of itself.
+    """The status that a process sends about itself.
 
     ``started_at`` is its start in seconds since 1970; it distinguishes the
     status of two incarnations at one address. ``callers`` is the address at
@@ -49,9 +49,9 @@
 class LastSeen(msgspec.Struct, frozen=True, array_like=True):
     """When an entry was last seen, without its complete status.
 
-    Takes a fifth of the bytes of a status. ``life`` identifies the
-    incarnation of the process, see `incarnation_hash`; ``age_ms`` is the age of its
-    last status in milliseconds.
+    It takes a fifth of the bytes of a status. ``life`` identifies the
+    incarnation of the process, see `incarnation_hash`; ``age_ms`` is the age
+    of its last status in milliseconds.
     """
 
     ip: str
@@ -61,9 +61,9 @@
     leaving: bool = False
 
 
-def incarnation_hash(word: MemberStatus) -> int:
+def incarnation_hash(status: MemberStatus) -> int:
     """Return a 32-bit hash of a process's incarnation."""
-    return zlib.crc32(word.incarnation.encode())
+    return zlib.crc32(status.incarnation.encode())
 
 
 class EngineLoad(
@@ -80,9 +80,9 @@
     more requests because it is about to load a version. ``pace`` is the
     slowdown factor: over 1 the engine is slow. ``started_ms`` distinguishes
     incarnations of the engine, as in `Upstream`. An engine that holds only
-    some layers has ``weights`` 0; its layer range is that of ``partial_version``
-    from ``first_layer`` up to but not including ``end_layer``. ``is_close`` is
-    set for the few entries to which the agent sends load reports most often.
+    some layers has ``weights`` 0; it holds those of ``partial_version`` from
+    ``first_layer`` up to but not including ``end_layer``. ``is_close`` is set
+    for the few entries to which the agent sends load reports most often.
     """
 
     address: str
@@ -154,7 +154,7 @@
     that the sender knows of. ``asks_for_reply`` requests the receiver's
     status. ``is_alone`` is set by a sender that knows no other process: the
     reply has ``others``, the status of some entries known to the replier.
-    ``last_seen_entries`` are last-seen entries.
+    ``last_seen_entries`` tells when some entries were last seen.
     """
 
     word: MemberStatus
--- a/packages/model/src/crowrudder_model/messages/_run.py
+++ b/packages/model/src/crowrudder_model/messages/_run.py
@@ -2,9 +2,9 @@
 
 Sequence: the entry opens a stream and sends an `Attempt`; the agent answers
 `Queued` or `Refusal`. When a slot is free for the attempt, the agent sends
-`PermitRequest` and waits for a `Permit`. `Piece` messages and one `Final` follow.
-After a broken stream the entry assumes nothing: it asks the same incarnation
-with `SettleRequest`.
+`PermitRequest` and waits for a `Permit`. `Piece` messages and one `Final`
+follow. After a broken stream the entry assumes nothing: it asks the same
+incarnation with `SettleRequest`.
 """
 
 from __future__ import annotations
--- a/packages/model/src/crowrudder_model/messages/_suspects.py
+++ b/packages/model/src/crowrudder_model/messages/_suspects.py
@@ -20,8 +20,8 @@
 class SuspicionReport(msgspec.Struct, frozen=True, array_like=True):
     """What the sender knows of one request, identified by its digest.
 
-    ``completed_ms`` is how long ago a run of it completed, ``refused_ms`` how long
-    ago it was last refused. Both are in milliseconds, -1 for never.
+    ``completed_ms`` is how long ago a run of it completed, ``refused_ms`` how
+    long ago it was last refused. Both are in milliseconds, -1 for never.
     """
 
     digest: int
--- a/packages/model/src/crowrudder_model/messages/_weights.py
+++ b/packages/model/src/crowrudder_model/messages/_weights.py
@@ -20,7 +20,7 @@
 
     ``passes`` are, as bits, the chunks that the agent tried to read from the
     origin and leaves to the next agent in order; ``wants`` is false if it
-    hasn't learnt that it is to hold the version. ``loaded`` is the version
+    doesn't know that it should hold the version. ``loaded`` is the version
     with which the engine answers; ``busy`` is the number of upload slots in
     use, out of ``slots``.
     """
