--- a/packages/core/src/crowrudder_core/catalog/_reading.py
+++ b/packages/core/src/crowrudder_core/catalog/_reading.py
@@ -17,7 +17,7 @@
 WATCHERS = 4
 """Entries that hold a watch at the platform.
 
-Each watch call adds load, and every change ends all watches. With fewer
+Each watch call has a cost, and every change ends all watches. With fewer
 watchers, a fleet whose watchers are all refused at once would receive no
 updates until the other entries detect that.
 """
