--- a/measure/_route_fleet.py
+++ b/measure/_route_fleet.py
@@ -1,4 +1,4 @@
-"""The daemon's own request tasks, joined in memory, before simple engines."""
+"""The daemon's request tasks, connected in memory, with simulated engines."""
 
 from __future__ import annotations
 
@@ -48,23 +48,26 @@
 
 @frozen(kw_only=True)
 class FleetShape:
-    """Size of the fleet, its engines and how late reports are."""
+    """Size of the fleet, speed of its engines and delay of its reports."""
 
     entries: int = 8
     agents: int = 20
     slots: int = 8
     token_s: float = 0.025
     prefill_s: float = 0.1
-    cache: int = 0
+    cached_prompts: int = 0
     report_lag_s: float = 1.0
-    report_every_s: float = 0.5
+    report_interval_s: float = 0.5
     customers: tuple[Customer, ...] = ()
     seed: int = 1
 
 
 @define(eq=False)
 class SimpleEngine:
-    """An engine with a batch, a prefix cache, a speed and a pulse."""
+    """Simulated engine with a batch, a prefix cache and a speed.
+
+    Without `answers`, a run starts only after the budget is spent.
+    """
 
     shape: FleetShape
     slowness: float = 1
@@ -80,22 +83,22 @@
         attempt: Attempt,
         version: str,
     ) -> AsyncIterator[Piece | Final]:
-        """Generate, first the prompt's part and then the tokens."""
+        """Run an attempt: prefill the prompt, then generate the tokens."""
         self.runs += 1
         self.running += 1
         try:
             if not self.answers:
                 await asyncio.sleep(attempt.budget_s)
-            async for part in self._generate(attempt, version):
-                yield part
+            async for output in self._generate(attempt, version):
+                yield output
         finally:
             self.running -= 1
 
     async def cancel(self, request_id: str) -> None:
-        """Nothing to do: the run ends with its reader."""
+        """Do nothing: the run ends when its reader stops."""
 
     def run_s(self, tokens: int, *, hit: bool = False) -> float:
-        """Give the seconds of a run with the batch as it is."""
+        """Return the seconds that a run takes in the current batch."""
         prefill_s = self.shape.prefill_s * (HIT_SHARE if hit else 1)
         batch = 1 + BATCH_SLOWDOWN * max(self.running - 1, 0)
         return (prefill_s + tokens * self.shape.token_s * batch) * self.slowness
@@ -107,12 +110,12 @@
     ) -> AsyncIterator[Piece | Final]:
         request_id = attempt.key.request_id
         left = attempt.max_tokens - attempt.resume_from
-        whole_s = self.run_s(left, hit=self._hit(attempt.prompt))
-        self.busy_s += whole_s
-        first_s = whole_s - self.run_s(max(left - 1, 0)) + self.run_s(0)
-        first_s = min(first_s, whole_s)
-        # Two pieces stand for all tokens: the first, and what follows.
-        for index, pause_s in enumerate((first_s, whole_s - first_s)):
+        total_s = self.run_s(left, hit=self._hit(attempt.prompt))
+        self.busy_s += total_s
+        first_s = total_s - self.run_s(max(left - 1, 0)) + self.run_s(0)
+        first_s = min(first_s, total_s)
+        # Only two pieces are sent: the first token, and all later ones.
+        for index, pause_s in enumerate((first_s, total_s - first_s)):
             await asyncio.sleep(max(pause_s, 0))
             yield Piece(request_id=request_id, version=version, index=index)
         yield Final(
@@ -123,20 +126,20 @@
         )
 
     def _hit(self, prompt: str) -> bool:
-        if not self.shape.cache:
+        if not self.shape.cached_prompts:
             return False
         hit = prompt in self._prefixes
         self.hits += hit
         self._prefixes[prompt] = None
         self._prefixes.move_to_end(prompt)
-        if len(self._prefixes) > self.shape.cache:
+        if len(self._prefixes) > self.shape.cached_prompts:
             self._prefixes.popitem(last=False)
         return hit
 
 
 @define(eq=False)
 class MemoryAgent:
-    """One agent: the daemon's task and service, and its engine."""
+    """An agent: the daemon's task and service with a simulated engine."""
 
     address: str
     runs: RunsTask
@@ -146,82 +149,82 @@
     streams: set[MemoryStream] = field(factory=set)
 
     def die(self, entries: list[RequestsTask]) -> None:
-        """Break every stream, as the death of its host would."""
+        """Break every stream, as a crash of the host would."""
         self.alive = False
         for entry in entries:
             entry.post(AgentLost(self.address))
         for stream in list(self.streams):
-            stream.break_off()
+            stream.disconnect()
 
 
-_END = object()
+_END_OF_STREAM = object()
 
 
 class MemoryStream:
-    """A stream to an agent in memory, with the latency of a link."""
+    """In-memory stream to an agent, with the latency of a network link."""
 
     def __init__(self, agent: MemoryAgent, method: Method[Any, Any]) -> None:
         self._agent = agent
         self._method = method
-        self._ups = _Link()
-        self._downs = _Link()
-        self._pump: asyncio.Task[None] | None = None
+        self._client_messages = _DelayedQueue()
+        self._server_messages = _DelayedQueue()
+        self._handler: asyncio.Task[None] | None = None
 
-    def open(self, ask: Any) -> None:
-        """Start the agent's handler."""
+    def open(self, request: Any) -> None:
+        """Start the agent's handler, or fail if the agent is dead."""
         if not self._agent.alive:
-            self.break_off()
+            self.disconnect()
             return
         self._agent.streams.add(self)
-        self._pump = asyncio.ensure_future(self._serve(ask))
+        self._handler = asyncio.ensure_future(self._serve(request))
 
     async def send(self, message: RunClientMessage) -> None:
-        """Send one message up."""
+        """Send one message to the agent."""
         if not self._agent.alive:
             raise self._lost()
-        self._ups.put(message)
+        self._client_messages.put(message)
 
     async def read(self) -> Any:
-        """Read one message; None at the orderly end."""
-        down = await self._downs.out.get()
+        """Return the next message; None at the end of the stream."""
+        down = await self._server_messages.delivered.get()
         if isinstance(down, PeerLostError):
-            self._downs.out.put_nowait(down)
+            self._server_messages.delivered.put_nowait(down)
             raise down
-        return None if down is _END else down
+        return None if down is _END_OF_STREAM else down
 
     def __aiter__(self) -> AsyncIterator[Any]:
-        """Iterate until the orderly end."""
+        """Iterate over the messages until the end of the stream."""
         return self._iterate()
 
     def cancel(self) -> None:
-        """Give the call up."""
+        """Cancel the call."""
         self._agent.streams.discard(self)
-        if self._pump is not None:
-            self._pump.cancel()
+        if self._handler is not None:
+            self._handler.cancel()
 
-    def break_off(self) -> None:
-        """End both ways as a dead host does."""
+    def disconnect(self) -> None:
+        """Fail both directions, as the crash of a host does."""
         self.cancel()
-        self._downs.out.put_nowait(self._lost())
+        self._server_messages.delivered.put_nowait(self._lost())
 
     async def _iterate(self) -> AsyncIterator[Any]:
         while (down := await self.read()) is not None:
             yield down
 
-    async def _serve(self, ask: Any) -> None:
+    async def _serve(self, request: Any) -> None:
         service = self._agent.service
         events = (
-            service._on_run(self._read_ups(), None)
+            service._on_run(self._read_client_messages(), None)
             if self._method is RUN
-            else service._on_settle(ask, None)
+            else service._on_settle(request, None)
         )
         async for event in events:
-            self._downs.put(event)
-        self._downs.put(_END)
+            self._server_messages.put(event)
+        self._server_messages.put(_END_OF_STREAM)
 
-    async def _read_ups(self) -> AsyncIterator[Any]:
+    async def _read_client_messages(self) -> AsyncIterator[Any]:
         while True:
-            yield await self._ups.out.get()
+            yield await self._client_messages.delivered.get()
 
     def _lost(self) -> PeerLostError:
         return PeerLostError(
@@ -232,26 +235,27 @@
 
 
 @define(eq=False)
-class _Link:
-    """One way of a stream: late by a latency, and in order.
+class _DelayedQueue:
+    """One direction of a stream: delays messages and keeps their order.
 
-    Timers of the same moment run in no order, so each takes the eldest.
+    Timers due at the same moment run in any order, so each timer delivers
+    the oldest message.
     """
 
-    out: asyncio.Queue[Any] = field(factory=asyncio.Queue)
-    _flying: deque[Any] = field(factory=deque)
+    delivered: asyncio.Queue[Any] = field(factory=asyncio.Queue)
+    _in_flight: deque[Any] = field(factory=deque)
 
     def put(self, message: Any) -> None:
-        self._flying.append(message)
+        self._in_flight.append(message)
         loop = asyncio.get_running_loop()
         loop.call_later(LATENCY_S, self._arrive)
 
     def _arrive(self) -> None:
-        self.out.put_nowait(self._flying.popleft())
+        self.delivered.put_nowait(self._in_flight.popleft())
 
 
 class MemoryPeers:
-    """The calls of an entry, in memory."""
+    """In-memory RPC client of an entry."""
 
     def __init__(self, agents: dict[str, MemoryAgent]) -> None:
         self._agents = agents
@@ -261,22 +265,22 @@
         self,
         peer: str,
         method: Method[Any, Any],
-        ask: Any = None,
+        request: Any = None,
     ) -> MemoryStream:
         """Open a stream."""
         assert method in {RUN, SETTLE}
         stream = MemoryStream(self._agents[peer], method)
-        stream.open(ask)
+        stream.open(request)
         return stream
 
     async def call(
         self,
         peer: str,
         method: Method[Any, Any],
-        ask: Any,
-        **_more: Any,
+        request: Any,
+        **_options: Any,
     ) -> Any:
-        """Make a unary call: to cancel, or to ask for room."""
+        """Make a unary call: a cancellation or a capacity request."""
         agent = self._agents[peer]
         await asyncio.sleep(LATENCY_S)
         if not agent.alive:
@@ -286,13 +290,13 @@
             CANCEL: agent.service._on_cancel,
             ROOM: agent.service._on_capacity,
         }
-        reply = await handlers[method](ask, None)
+        reply = await handlers[method](request, None)
         await asyncio.sleep(LATENCY_S)
         return reply
 
 
 class MemoryFleet:
-    """Entries and agents of one run."""
+    """Entries and agents of one measured run."""
 
     def __init__(
         self,
@@ -301,10 +305,12 @@
     ) -> None:
         self.shape = shape
         self.rng = random.Random(shape.seed)
-        self.agents = [_agent(shape, number) for number in range(shape.agents)]
+        self.agents = [
+            _make_agent(shape, number) for number in range(shape.agents)
+        ]
         by_address = {agent.address: agent for agent in self.agents}
         self.entries = [
-            _entry(number, MemoryPeers(by_address))
+            _make_entry(number, MemoryPeers(by_address))
             for number in range(shape.entries)
         ]
         bundle = bundle_of(
@@ -322,7 +328,7 @@
             entry.post(SnapshotReceived(Snapshot(bundle)))
 
     async def start(self) -> None:
-        """Start all tasks and the reports."""
+        """Start all tasks and the periodic load reports."""
         for agent in self.agents:
             agent.runs.start()
             agent.runs.post(ResumeRuns(SERVICE, 'v1', ()))
@@ -332,33 +338,33 @@
         for agent in self.agents:
             for entry in self.entries:
                 entry.post(ReportReceived(_report(agent, entry), agent.address))
-                entry.spawn(self._report_for_ever(agent, entry))
+                entry.spawn(self._send_reports(agent, entry))
         await asyncio.sleep(0)
 
-    def forbid_second_places(self) -> None:
-        """Let every request wait where it was sent first."""
+    def disable_second_queue_places(self) -> None:
+        """Keep every request in the queue of the agent chosen first."""
         for entry in self.entries:
             entry._second_queue_budget = RetryBudget(0, balance=0)
 
-    async def _report_for_ever(
+    async def _send_reports(
         self,
         agent: MemoryAgent,
         entry: RequestsTask,
     ) -> None:
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self.rng.uniform(0, self.shape.report_every_s))
+        await asyncio.sleep(self.rng.uniform(0, self.shape.report_interval_s))
         while agent.alive:
             message = ReportReceived(_report(agent, entry), agent.address)
             loop.call_later(self.shape.report_lag_s, entry.post, message)
-            await asyncio.sleep(self.shape.report_every_s)
+            await asyncio.sleep(self.shape.report_interval_s)
 
 
 def _report(agent: MemoryAgent, entry: RequestsTask) -> Any:
     return agent.service.report(entry._runtime.incarnation)
 
 
-def _agent(shape: FleetShape, number: int) -> MemoryAgent:
-    runtime = _runtime('agent', number, slots=shape.slots)
+def _make_agent(shape: FleetShape, number: int) -> MemoryAgent:
+    runtime = _make_runtime('agent', number, slots=shape.slots)
     engine = SimpleEngine(shape)
     runs = RunsTask(runtime, engine)  # type: ignore[arg-type]
     knowledge: Any = types.SimpleNamespace(
@@ -368,11 +374,11 @@
     return MemoryAgent(f'agent-{number}', runs, service, engine)
 
 
-def _entry(number: int, peers: Any) -> RequestsTask:
-    return RequestsTask(_runtime('entry', number), peers)
+def _make_entry(number: int, peers: Any) -> RequestsTask:
+    return RequestsTask(_make_runtime('entry', number), peers)
 
 
-def _runtime(role: Any, number: int, *, slots: int = 8) -> Runtime:
+def _make_runtime(role: Any, number: int, *, slots: int = 8) -> Runtime:
     cfg = Settings(
         process=ProcessSection(
             role=role,
--- a/measure/_route_policies.py
+++ b/measure/_route_policies.py
@@ -1,4 +1,4 @@
-"""Ways of choosing an agent that the router is measured against."""
+"""Baseline policies that the router is measured against."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 class RandomRouter(Router):
-    """Any agent that can serve."""
+    """Chooses a random agent that can serve."""
 
     def choose(self, need: Need, *, now: float) -> Choice | None:
-        """Draw one."""
+        """Choose an agent at random."""
         hosts = sorted(self.candidates(need, now=now))
         return Choice(self._random.choice(hosts), 0) if hosts else None
 
 
 class RoundRobinRouter(Router):
-    """One agent after the other."""
+    """Chooses the agents one after the other."""
 
     def __init__(self, rng: Random) -> None:
         super().__init__(rng)
         self.turn = 0
 
     def choose(self, need: Need, *, now: float) -> Choice | None:
-        """Take the next one."""
+        """Choose the next agent."""
         hosts = sorted(self.candidates(need, now=now))
         if not hosts:
             return None
@@ -37,10 +37,10 @@
 
 
 class LeastOutstandingRouter(Router):
-    """The agent to which this entry has sent least that hasn't ended."""
+    """Chooses the agent with the fewest outstanding requests of this entry."""
 
     def choose(self, need: Need, *, now: float) -> Choice | None:
-        """Take the emptiest, any of them where several are."""
+        """Choose the least loaded agent; break ties at random."""
         hosts = self.candidates(need, now=now)
         if not hosts:
             return None
@@ -50,30 +50,30 @@
 
 
 class PlainTwoRouter(Router):
-    """Power of two choices on the last reports alone, without speeds."""
+    """Power of two choices by the last reports alone, ignoring speeds."""
 
     def choose(self, need: Need, *, now: float) -> Choice | None:
-        """Take the emptier of two."""
+        """Choose the less loaded of two random agents."""
         hosts = sorted(self.candidates(need, now=now))
         if not hosts:
             return None
-        drawn = self._random.sample(hosts, min(2, len(hosts)))
-        reports = {host: self.agents[host].report for host in drawn}
-        emptier = min(
-            drawn,
+        sampled = self._random.sample(hosts, min(2, len(hosts)))
+        reports = {host: self.agents[host].report for host in sampled}
+        less_loaded = min(
+            sampled,
             key=lambda host: reports[host].running + reports[host].queued,
         )
-        return Choice(emptier, 0)
+        return Choice(less_loaded, 0)
 
 
 class OracleRouter(Router):
-    """Knows every agent's state, speed and death at this very moment."""
+    """Knows each agent's current state and speed, and whether it is alive."""
 
     fleet: MemoryFleet
     probes: int = 0
 
     def choose(self, need: Need, *, now: float) -> Choice | None:
-        """Take the agent at which the request would end first."""
+        """Choose the agent that would complete the request first."""
         alive = [
             agent
             for agent in self.fleet.agents
@@ -84,10 +84,10 @@
         if not alive:
             return None
         self._random.shuffle(alive)
-        best = min(alive, key=self._end_s)
+        best = min(alive, key=self._completion_score)
         return Choice(best.address, 0)
 
-    def _end_s(self, agent: MemoryAgent) -> float:
+    def _completion_score(self, agent: MemoryAgent) -> float:
         state = agent.runs.state
         load = max(
             state.running + state.queued,
@@ -101,14 +101,14 @@
 
 
 def oracle(fleet: MemoryFleet, rng: Random) -> OracleRouter:
-    """Make a router with fresh knowledge of all agents."""
+    """Return a router that knows the current state of all agents."""
     router = OracleRouter(rng)
     router.fleet = fleet
     return router
 
 
 def probing(fleet: MemoryFleet, rng: Random) -> OracleRouter:
-    """Make a router that asks three agents at the moment of the choice."""
+    """Return a router that probes three random agents for each choice."""
     router = oracle(fleet, rng)
     router.probes = 3
     return router
--- a/measure/_route_real.py
+++ b/measure/_route_real.py
@@ -1,4 +1,4 @@
-"""Figures of real processes: added latency, work a core, and a drain."""
+"""Figures of real processes: added latency, throughput per core, a drain."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 )
 WEIGHTS = Weights('listing-v1', seed=1, size=1 << 18, chunk_bytes=1 << 16)
 REQUEST = Request(request_id='', customer='breeder-portal', model='listing')
-SINGLE = 150
+SINGLE_REQUESTS = 150
 BUSY_S = 5.0
-AT_ONCE = 20
+CONCURRENCY = 20
 LONG_TOKENS = 200
 DRAIN_RATE = 40
 DRAIN_WATCH_S = 5.0
 
 
 def run(show: Show) -> None:
-    """Print the figures of one small fleet."""
+    """Measure one small fleet and print its figures."""
     asyncio.run(_run(show))
 
 
@@ -58,9 +58,9 @@
                 step='load',
                 timeout_s=30,
             )
-            await _latency(fleet, show)
-            await _throughput(fleet, show)
-            await _drain(fleet, show)
+            await _measure_latency(fleet, show)
+            await _measure_throughput(fleet, show)
+            await _measure_drain(fleet, show)
         finally:
             fleet.close()
 
@@ -69,14 +69,14 @@
     return f'http://127.0.0.1:{entry.member["http_port"]}'
 
 
-async def _latency(fleet: Fleet, show: Show) -> None:
-    """Compare a short answer through the path with the engine's own."""
+async def _measure_latency(fleet: Fleet, show: Show) -> None:
+    """Compare a short answer through the fleet with one from the engine."""
     caller = Caller(_url(fleet.entries[0]), seed=1)
     whole: list[float] = []
     direct: list[float] = []
     upstream = fleet.engine_agents[0].upstream
     assert upstream is not None
-    for number in range(SINGLE):
+    for number in range(SINGLE_REQUESTS):
         req = evolve(
             REQUEST,
             request_id=f'single-{number}',
@@ -93,8 +93,8 @@
     caller.close()
     whole.sort()
     direct.sort()
-    for name, part in (('p50', 0.5), ('p99', 0.99)):
-        at = int(part * SINGLE)
+    for name, quantile in (('p50', 0.5), ('p99', 0.99)):
+        at = int(quantile * SINGLE_REQUESTS)
         show(f'route.direct_{name}_ms', 1000 * direct[at])
         show(f'route.added_latency_{name}_ms', 1000 * (whole[at] - direct[at]))
 
@@ -114,35 +114,35 @@
     await fleet.web.fetch('POST', url, json.dumps(body).encode())
 
 
-async def _throughput(fleet: Fleet, show: Show) -> None:
-    """Keep the path busy and count its processor time."""
-    short = await _busy(fleet, tokens=1)
-    long = await _busy(fleet, tokens=LONG_TOKENS)
+async def _measure_throughput(fleet: Fleet, show: Show) -> None:
+    """Measure throughput under load per second of processor time."""
+    short = await _requests_per_core_s(fleet, tokens=1)
+    long = await _requests_per_core_s(fleet, tokens=LONG_TOKENS)
     show('route.requests_per_core_s', short)
     show('route.tokens_per_core_s', long * LONG_TOKENS)
 
 
-async def _busy(fleet: Fleet, *, tokens: int) -> float:
-    """Give the requests a second of processor time of entries and agents."""
+async def _requests_per_core_s(fleet: Fleet, *, tokens: int) -> float:
+    """Return the requests per processor second of entries and agents."""
     caller = Caller(_url(fleet.entries[0]), seed=2)
     before = _cpu_s(fleet)
-    until_at = time.monotonic() + BUSY_S
+    deadline = time.monotonic() + BUSY_S
     done = 0
 
-    async def one_after_the_other(line: int) -> None:
+    async def send_sequentially(worker: int) -> None:
         nonlocal done
-        while time.monotonic() < until_at:
+        while time.monotonic() < deadline:
             req = evolve(
                 REQUEST,
-                request_id=f'busy-{tokens}-{line}-{done}',
-                prompt=f'line {line}',
+                request_id=f'busy-{tokens}-{worker}-{done}',
+                prompt=f'line {worker}',
                 max_tokens=tokens,
                 streamed=True,
             )
             answer = await caller.send(req)
             done += answer.whole
 
-    await asyncio.gather(*(one_after_the_other(n) for n in range(AT_ONCE)))
+    await asyncio.gather(*(send_sequentially(n) for n in range(CONCURRENCY)))
     caller.close()
     return done / (_cpu_s(fleet) - before)
 
@@ -157,13 +157,13 @@
     return used
 
 
-async def _drain(fleet: Fleet, show: Show) -> None:
-    """Drain an agent under load; see its engine's last new run."""
+async def _measure_drain(fleet: Fleet, show: Show) -> None:
+    """Drain an agent under load and record its engine's last new run."""
     leaving = fleet.engine_agents[0]
     upstream = leaving.upstream
     assert upstream is not None
     caller = Caller(_url(fleet.entries[0]), seed=3)
-    jobs = [
+    sends = [
         asyncio.ensure_future(_send_at(caller, number / DRAIN_RATE, number))
         for number in range(int((2 + DRAIN_WATCH_S) * DRAIN_RATE))
     ]
@@ -180,7 +180,7 @@
         if now > runs:
             runs, last_s = now, time.monotonic() - began
         await asyncio.sleep(0.01)
-    await asyncio.gather(*jobs)
+    await asyncio.gather(*sends)
     verdict = compare(Books.read(fleet.journals()), caller.answers)
     caller.close()
     show('drain.last_new_work_s', last_s)
--- a/measure/route.py
+++ b/measure/route.py
@@ -1,4 +1,4 @@
-"""Routing and overload, with the daemon's own tasks in virtual time."""
+"""Routing and overload, with the daemon's tasks in virtual time."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 @frozen
 class Sent:
-    """One request and how it ended, in virtual seconds."""
+    """Times of one request, in virtual seconds, and its outcome."""
 
     customer: str
     at: float
@@ -63,7 +63,13 @@
 
 @define
 class Load:
-    """Open-loop arrivals at a fleet; `rates` are a second, by customer."""
+    """Open-loop arrivals at a fleet.
+
+    Attributes
+    ----------
+    rates
+        Requests per second by customer.
+    """
 
     fleet: MemoryFleet
     rates: dict[str, float]
@@ -73,7 +79,7 @@
     jobs: list[asyncio.Task[None]] = field(factory=list)
 
     async def run(self, seconds: float) -> None:
-        """Send for so many seconds and wait for the ends."""
+        """Send requests for some seconds and wait until all have ended."""
         senders = [
             self._send_for(customer, rate, seconds)
             for customer, rate in self.rates.items()
@@ -95,13 +101,13 @@
             await asyncio.sleep(rng.expovariate(rate))
             number += 1
             req = self._request(customer, number)
-            self.jobs.append(asyncio.ensure_future(self._one(req)))
+            self.jobs.append(asyncio.ensure_future(self._send(req)))
 
     def _request(self, customer: str, number: int) -> CallerRequest:
         rng = self.fleet.rng
         prompt = f'{customer}-{number}'
         if self.prefixes:
-            # A skewed choice: few prompts are common, many are rare.
+            # A skewed distribution: few prompts are common, many are rare.
             prompt = f'prefix-{int(self.prefixes * rng.random() ** 2)}'
         return CallerRequest(
             head=CallHead(
@@ -120,15 +126,15 @@
             ),
         )
 
-    async def _one(self, req: CallerRequest) -> None:
+    async def _send(self, req: CallerRequest) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
         first_s = 0.0
-        parts: asyncio.Queue[Any] = asyncio.Queue()
+        events: asyncio.Queue[Any] = asyncio.Queue()
         self.fleet.rng.choice(self.fleet.entries).post(
-            RequestReceived(req, parts)
+            RequestReceived(req, events)
         )
-        while not isinstance(part := await parts.get(), Ended):
+        while not isinstance(event := await events.get(), Ended):
             first_s = first_s or loop.time() - began
         self.done.append(
             Sent(
@@ -136,62 +142,62 @@
                 began,
                 first_s,
                 loop.time() - began,
-                part.outcome,
+                event.outcome,
             ),
         )
 
     def after(self, seconds: float) -> list[Sent]:
-        """Give what was sent later than that."""
+        """Return the results of requests sent after the given seconds."""
         return [sent for sent in self.done if sent.at >= seconds]
 
 
 def capacity(shape: FleetShape) -> float:
-    """Give the requests a second of all engines with full batches."""
+    """Return the requests per second of all engines with full batches."""
     mean_tokens = sum(TOKENS) / len(TOKENS)
     batch = 1 + 0.02 * (shape.slots - 1)
     run_s = shape.prefill_s + mean_tokens * shape.token_s * batch
     return shape.agents * shape.slots / run_s
 
 
-def part_of(figures: list[float], part: float) -> float:
-    """Give a percentile."""
+def quantile(figures: list[float], share: float) -> float:
+    """Return a quantile."""
     ordered = sorted(figures)
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
+    return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
 
 def measure_policy(make_router: Any) -> tuple[float, float, float]:
-    """Give p99, p95 to the first piece, and attempts a request."""
+    """Return p99 latency, p95 time to first piece, and runs per request."""
 
-    async def story() -> tuple[float, float, float]:
+    async def scenario() -> tuple[float, float, float]:
         shape = FleetShape(customers=CUSTOMERS)
         fleet = MemoryFleet(shape, make_router)
         if make_router in PLAIN_POLICIES:
-            fleet.forbid_second_places()
+            fleet.disable_second_queue_places()
         fleet.agents[0].engine.slowness = SLOWNESS
         await fleet.start()
         loop = asyncio.get_running_loop()
         loop.call_later(SECONDS / 2, fleet.agents[1].die, fleet.entries)
-        # One of the agents counts for a third, and one dies.
+        # The slow agent has a third of its capacity and the crashed one none.
         rate = LOAD * capacity(shape) * (shape.agents - 5 / 3) / shape.agents
         load = Load(fleet, {'large': rate})
         await load.run(SECONDS)
         sent = load.after(WARM_UP_S)
-        good = [one for one in sent if one.outcome is Outcome.ANSWERED]
+        answered = [one for one in sent if one.outcome is Outcome.ANSWERED]
         runs = sum(agent.engine.runs for agent in fleet.agents)
         return (
-            part_of([one.took_s for one in good], 0.99),
-            part_of([one.first_s for one in good], 0.95),
+            quantile([one.took_s for one in answered], 0.99),
+            quantile([one.first_s for one in answered], 0.95),
             runs / len(load.done),
         )
 
-    return run_virtual(story())
+    return run_virtual(scenario())
 
 
 def measure_cache(make_router: Any) -> tuple[float, float]:
-    """Give the cache's hits a request, and the fullest agent over the mean."""
+    """Return the cache hit ratio, and the busiest agent over the mean."""
 
-    async def story() -> tuple[float, float]:
-        shape = FleetShape(cache=24, customers=CUSTOMERS)
+    async def scenario() -> tuple[float, float]:
+        shape = FleetShape(cached_prompts=24, customers=CUSTOMERS)
         fleet = MemoryFleet(shape, make_router)
         await fleet.start()
         load = Load(fleet, {'large': 0.6 * capacity(shape)}, prefixes=400)
@@ -201,37 +207,41 @@
         busy = [agent.engine.busy_s for agent in fleet.agents]
         return hits / sum(runs), max(busy) * len(busy) / sum(busy)
 
-    return run_virtual(story())
+    return run_virtual(scenario())
 
 
 def measure_overload(times: float) -> tuple[float, float]:
-    """Give goodput over capacity, and the least small customer's part."""
+    """Return goodput over capacity, and the lowest share served.
+
+    The share is that of answered requests of a small customer; all small
+    customers stay within their entitlement.
+    """
 
-    async def story() -> tuple[float, float]:
+    async def scenario() -> tuple[float, float]:
         shape = FleetShape(agents=8, customers=CUSTOMERS)
         fleet = MemoryFleet(shape)
         await fleet.start()
         full = capacity(shape)
-        entitled = {customer.name: 0.09 * full for customer in SMALL}
-        large = times * full - sum(entitled.values())
-        load = Load(fleet, {**entitled, 'large': large}, OVERLOAD_DEADLINE_S)
+        small_rates = {customer.name: 0.09 * full for customer in SMALL}
+        large = times * full - sum(small_rates.values())
+        load = Load(fleet, {**small_rates, 'large': large}, OVERLOAD_DEADLINE_S)
         await load.run(SECONDS)
         sent = load.after(WARM_UP_S)
-        good = [one for one in sent if one.outcome is Outcome.ANSWERED]
-        parts = []
-        for customer in entitled:
+        answered = [one for one in sent if one.outcome is Outcome.ANSWERED]
+        served_shares = []
+        for customer in small_rates:
             own = [one for one in sent if one.customer == customer]
-            served = [one for one in good if one.customer == customer]
-            parts.append(len(served) / len(own))
-        return len(good) / (SECONDS - WARM_UP_S) / full, min(parts)
+            served = [one for one in answered if one.customer == customer]
+            served_shares.append(len(served) / len(own))
+        return len(answered) / (SECONDS - WARM_UP_S) / full, min(served_shares)
 
-    return run_virtual(story())
+    return run_virtual(scenario())
 
 
 def measure_total_failure() -> float:
-    """Give attempts a request while every agent of the service is dead."""
+    """Return attempts per request while all agents of the service are dead."""
 
-    async def story() -> float:
+    async def scenario() -> float:
         fleet = MemoryFleet(FleetShape(customers=CUSTOMERS))
         await fleet.start()
         load = Load(fleet, {'large': 200.0})
@@ -241,7 +251,7 @@
         attempts = sum(entry.agents.attempts for entry in fleet.entries)
         return attempts / len(load.done)
 
-    return run_virtual(story())
+    return run_virtual(scenario())
 
 
 POLICIES: dict[str, Any] = {
@@ -254,7 +264,7 @@
 }
 
 
-# These choose once and for all, as the ways of the table do by themselves.
+# Plain policies choose an agent once, so second queue places are disabled.
 PLAIN_POLICIES = (
     oracle,
     *(
@@ -286,7 +296,7 @@
 
 
 def run_real(show: Show) -> None:
-    """Print the figures of real processes, which the scripts start."""
+    """Print the figures of real processes, started by modules of scripts/."""
     sys.path.append(str(Path(__file__).parent.parent / 'scripts'))
     importlib.import_module('_route_real').run(show)
 
@@ -313,15 +323,15 @@
 
 
 def best_placement(fleet: MemoryFleet, rng: Any) -> Router:
-    """Send each prompt always to the same agent, however full it is."""
+    """Return a router that sends each prompt to one agent, however loaded."""
     return _PinnedRouter(rng)
 
 
 class _PinnedRouter(Router):
-    """One home for each prompt."""
+    """Routes each prompt to a fixed agent."""
 
     def choose(self, need: Any, *, now: float) -> Any:
-        """Take the home."""
+        """Choose the agent that the prompt is pinned to."""
         from crowrudder_core.routing import Choice
         from crowrudder_model import ranked
 
