--- a/measure/_config_churn.py
+++ b/measure/_config_churn.py
@@ -1,4 +1,4 @@
-"""A day's changes of configuration in seconds, with requests running."""
+"""Frequent configuration changes while requests run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from _books import Books, Verdict, compare
 from _caller import Caller, Request
-from _config_fleet import value_of
+from _config_fleet import build_bundle
 from _fleet import Fleet, until
 from _fleet_plan import FleetPlan
 
@@ -21,17 +21,17 @@
 
 CHANGES = 130
 GAP_S = 0.15
-"""130 changes in 20 s: 1,300 a day come 440 times slower."""
+"""Pause between changes: 130 in 20 s, 440 times the rate of 1,300 a day."""
 
 GENERATIONS = range(2, 2 + CHANGES)
-IDLE_INVENTORY_INTERVAL_S = 8.0
+QUIET_RUN_S = 8.0
 CALLERS = 4
 PAUSE_S = 0.01
-FROZEN_S = 8.0
+SUSPENDED_S = 8.0
 
 
 async def measure_churn(show: Show) -> None:
-    """Change the configuration all the time while requests run."""
+    """Compare the request rate during frequent changes with a quiet run."""
     with tempfile.TemporaryDirectory() as directory:
         plan = FleetPlan(entries=3, engines=0, plains=3, poll_s=1)
         fleet = Fleet(plan, Path(directory))
@@ -40,7 +40,7 @@
             await _in_force(fleet, 1)
             quiet, _ = await _run(fleet, generations=())
             rate, verdict = await _run(fleet, generations=GENERATIONS)
-            await _show_woken(show, fleet)
+            await _show_resumed(show, fleet)
         finally:
             fleet.close()
     show('config.churn.changes', CHANGES)
@@ -56,7 +56,10 @@
     *,
     generations: Sequence[int],
 ) -> tuple[float, Verdict]:
-    """Send requests over these publications; requests a second, and books."""
+    """Send requests while publishing; return their rate and the verdict.
+
+    The verdict compares the request logs of the upstreams with the answers.
+    """
     member = fleet.entries[0].member
     url = f'http://{member["address"]}:{member["http_port"]}'
     callers = [Caller(url, seed=number) for number in range(CALLERS)]
@@ -69,10 +72,10 @@
     ]
     begun = time.monotonic()
     for generation in generations:
-        await fleet.publish(value_of(generation))
+        await fleet.publish(build_bundle(generation))
         await asyncio.sleep(GAP_S)
     if not generations:
-        await asyncio.sleep(IDLE_INVENTORY_INTERVAL_S)
+        await asyncio.sleep(QUIET_RUN_S)
     took_s = time.monotonic() - begun
     stopped.set()
     await asyncio.gather(*calls)
@@ -99,28 +102,28 @@
         await asyncio.sleep(PAUSE_S)
 
 
-async def _show_woken(show: Show, fleet: Fleet) -> None:
-    """Freeze a process over some changes; how soon it has caught up."""
-    frozen = fleet.entries[-1]
-    frozen.process.freeze()
+async def _show_resumed(show: Show, fleet: Fleet) -> None:
+    """Suspend a process during some changes and time how it catches up."""
+    suspended = fleet.entries[-1]
+    suspended.process.freeze()
     generation = 200
     for _ in range(4):
         generation += 1
-        await fleet.publish(value_of(generation))
-        await asyncio.sleep(FROZEN_S / 4)
+        await fleet.publish(build_bundle(generation))
+        await asyncio.sleep(SUSPENDED_S / 4)
     at = time.time()
-    frozen.process.thaw()
+    suspended.process.thaw()
     states = await _in_force(fleet, generation)
-    woken = next(each for each in states if each['host'] == frozen.name)
-    show('config.woken.caught_up_s', woken['in_force_since'] - at)
+    resumed = next(each for each in states if each['host'] == suspended.name)
+    show('config.woken.caught_up_s', resumed['in_force_since'] - at)
 
 
 async def _in_force(fleet: Fleet, generation: int) -> list[Any]:
     if generation == 1:
-        await fleet.publish(value_of(1))
+        await fleet.publish(build_bundle(1))
     states: list[Any] = []
 
-    async def holds() -> bool:
+    async def is_in_force() -> bool:
         states[:] = await asyncio.gather(
             *(fleet.status(host) for host in fleet.hosts)
         )
@@ -131,5 +134,5 @@
             for each in states
         )
 
-    await until(holds, step=f'generation {generation}', timeout_s=30)
+    await until(is_in_force, step=f'generation {generation}', timeout_s=30)
     return states
--- a/measure/_config_fleet.py
+++ b/measure/_config_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets for the measurement of configuration: real processes, or workers."""
+"""Fleet of workers, traffic and costs for the configuration measurements."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 WORKER = Path(__file__).parent / '_config_worker.py'
 POLL_S = 5.0
 SEGMENT_BYTES = 52
-"""IPv4 and TCP headers with timestamps, for each segment."""
+"""Size of the IPv4 and TCP headers of a segment, with timestamps."""
 
 
-def value_of(
+def build_bundle(
     generation: int, *, rate: float = 1, customers: int = 100
 ) -> bytes:
-    """Write a bundle of some size; one customer's rate changes each time."""
+    """Return an encoded bundle; one customer's rate follows the generation."""
     return encode_bundle(
         Declaration(
             generation,
@@ -59,11 +59,11 @@
 
 
 @define
-class InForce:
-    """A bundle that came into force in one life of a process."""
+class InForceEvent:
+    """A bundle that came into force in one incarnation of a process."""
 
     host: str
-    life: str
+    incarnation: str
     generation: int
     digest: str
     at: float
@@ -71,12 +71,15 @@
 
 @define
 class Traffic:
-    """What went over a process's sockets, bytes with headers."""
+    """Bytes that went over the sockets of processes, including headers."""
 
-    seen: dict[str, int] = field(factory=dict)
+    bytes_by_socket: dict[str, int] = field(factory=dict)
 
     def sample(self, pids: set[int], ignored: set[int]) -> None:
-        """Note the counters of all sockets, also of those that close soon."""
+        """Record the counters of all open sockets.
+
+        Frequent samples also include sockets that close soon afterwards.
+        """
         table = subprocess.run(
             ('ss', '-tinpOH'),
             capture_output=True,
@@ -87,11 +90,13 @@
             socket = _socket_of(line, pids, ignored)
             if socket is not None:
                 name, size = socket
-                self.seen[name] = max(size, self.seen.get(name, 0))
+                self.bytes_by_socket[name] = max(
+                    size, self.bytes_by_socket.get(name, 0)
+                )
 
     def total(self) -> int:
-        """Give the bytes of all sockets so far, sent and received."""
-        return sum(self.seen.values())
+        """Return the bytes sent and received by all sockets so far."""
+        return sum(self.bytes_by_socket.values())
 
 
 def _socket_of(
@@ -99,14 +104,16 @@
     pids: set[int],
     ignored: set[int],
 ) -> tuple[str, int] | None:
-    words = line.split()
-    local, remote = words[3], words[4]
+    columns = line.split()
+    local, remote = columns[3], columns[4]
     if {int(each.rpartition(':')[2]) for each in (local, remote)} & ignored:
         return None
     pid = line.partition('pid=')[2].partition(',')[0]
     if not pid or int(pid) not in pids:
         return None
-    counts = dict(word.split(':', 1) for word in words if word.count(':') == 1)
+    counts = dict(
+        column.split(':', 1) for column in columns if column.count(':') == 1
+    )
     size = int(counts.get('bytes_sent', 0)) + int(
         counts.get('bytes_received', 0)
     )
@@ -115,12 +122,12 @@
 
 
 class WorkerFleet:
-    """Members whose knowledge runs in a few processes."""
+    """Members whose knowledge tasks run in a few worker processes."""
 
     def __init__(self, count: int, workers: int, directory: Path) -> None:
         plan = FleetPlan(entries=0, engines=0, plains=0, member_lag_s=0.1)
         self.base = Fleet(plan, directory)
-        self.events: list[InForce] = []
+        self.events: list[InForceEvent] = []
         self.members: list[dict[str, Any]] = [
             {
                 'host': f'host-{number:04}',
@@ -140,20 +147,20 @@
         self._children: list[asyncio.subprocess.Process] = []
         self._readers: list[asyncio.Task[None]] = []
         self._ready = 0
-        self._came = asyncio.Event()
+        self._event_received = asyncio.Event()
 
     @property
     def pids(self) -> set[int]:
-        """Give the workers' process ids."""
+        """Process ids of the workers."""
         return {child.pid for child in self._children}
 
     @property
     def platform_port(self) -> int:
-        """Give the port of the platform's stand-in."""
+        """Port of the platform stand-in."""
         return int(self.base.platform.address.rpartition(':')[2])
 
     async def start(self) -> None:
-        """Start the platform, list all members, start the workers."""
+        """Start the platform, register all members and start the workers."""
         await self.base.start()
         url = f'{self.base.platform.url}/control/members'
         for member in self.members:
@@ -161,10 +168,10 @@
         for number in range(self._workers):
             await self._start_worker(self.members[number :: self._workers])
         while self._ready < len(self.members):
-            await self._change()
+            await self._wait_for_event()
 
     async def publish(self, value: bytes) -> float:
-        """Publish; the monotonic time just before."""
+        """Publish a bundle and return the monotonic time just before."""
         at = time.monotonic()
         await self.base.publish(value)
         return at
@@ -175,7 +182,7 @@
         hosts: set[str],
         timeout_s: float = 60,
     ) -> dict[str, float]:
-        """Wait for a generation; the time at which each host had it."""
+        """Wait until a generation is in force; return each host's time."""
         async with asyncio.timeout(timeout_s):
             while True:
                 found = {
@@ -185,10 +192,10 @@
                 }
                 if hosts <= found.keys():
                     return found
-                await self._change()
+                await self._wait_for_event()
 
-    async def order(self, command: str, host: str) -> None:
-        """Stop or start a member's knowledge, without a word to anyone."""
+    async def send_command(self, command: str, host: str) -> None:
+        """Stop or start a member's knowledge task without notice to others."""
         number = int(host.rpartition('-')[2]) % self._workers
         stdin = self._children[number].stdin
         assert stdin is not None
@@ -196,7 +203,7 @@
         await stdin.drain()
 
     def watchers(self) -> list[str]:
-        """Name the watchers of all failure domains."""
+        """Return the watchers of all failure domains."""
         members = tuple(Member(**each) for each in self.members)
         return [
             host
@@ -205,15 +212,15 @@
         ]
 
     async def calls(self) -> dict[int, int]:
-        """Give the platform's count of calls, by second of its life."""
-        books = await self.base.books(self.base.platform)
+        """Return the platform's count of calls, by second since its start."""
+        records = await self.base.books(self.base.platform)
         return {
             int(second): count
-            for second, count in books['calls_per_second'].items()
+            for second, count in records['calls_per_second'].items()
         }
 
     async def close(self) -> None:
-        """End the workers and the platform."""
+        """Stop the workers and the platform."""
         for child in self._children:
             if child.returncode is None:
                 child.kill()
@@ -229,45 +236,51 @@
             str(POLL_S),
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
-            # The library tells of each connection that a stopped host closes.
+            # gRPC logs each connection that a stopped host closes.
             env={**os.environ, 'GRPC_VERBOSITY': 'ERROR'},
         )
         assert child.stdin is not None
         child.stdin.write(json.dumps(members).encode() + b'\n')
         self._children.append(child)
-        self._readers.append(asyncio.create_task(self._follow(child)))
+        self._readers.append(asyncio.create_task(self._read_events(child)))
 
-    async def _follow(self, child: asyncio.subprocess.Process) -> None:
+    async def _read_events(self, child: asyncio.subprocess.Process) -> None:
         assert child.stdout is not None
         async for line in child.stdout:
             facts = json.loads(line)
             self._ready += facts.pop('ready', 0)
             if facts:
-                self.events.append(InForce(**facts))
-            self._came.set()
+                self.events.append(InForceEvent(**facts))
+            self._event_received.set()
 
-    async def _change(self) -> None:
-        self._came.clear()
-        await self._came.wait()
+    async def _wait_for_event(self) -> None:
+        self._event_received.clear()
+        await self._event_received.wait()
 
 
 @define
 class Costs:
-    """Means over a while, for each member."""
+    """Mean costs per member over a period."""
 
     cpu_share: float
     memory_mb: float
     bytes_per_s: float
 
 
-async def costs_of(
+async def measure_costs(
     pids: set[int],
     members: int,
     ignored: set[int],
     wait_s: float,
-    between: Callable[[], Any] | None = None,
+    on_sample: Callable[[], Any] | None = None,
 ) -> Costs:
-    """Measure processor time, memory and traffic over a while."""
+    """Measure processor time, memory and traffic for some seconds.
+
+    Parameters
+    ----------
+    on_sample
+        Called after each sample of the traffic.
+    """
     processes = [psutil.Process(pid) for pid in pids]
     traffic = Traffic()
     traffic.sample(pids, ignored)
@@ -277,8 +290,8 @@
     while time.monotonic() - begun < wait_s:
         await asyncio.sleep(0.5)
         traffic.sample(pids, ignored)
-        if between is not None:
-            await between()
+        if on_sample is not None:
+            await on_sample()
     took_s = time.monotonic() - begun
     used_s = sum(_cpu_s(each) for each in processes) - before_s
     rss = sum(each.memory_info().rss for each in processes)
--- a/measure/_config_process.py
+++ b/measure/_config_process.py
@@ -1,4 +1,4 @@
-"""The costs of whole entries, each a process of its own."""
+"""Costs of complete entries, each in its own process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from _config_fleet import costs_of, value_of
+from _config_fleet import build_bundle, measure_costs
 from _fleet import Fleet, until
 from _fleet_plan import FleetPlan
 
@@ -45,7 +45,7 @@
     await asyncio.sleep(SETTLE_S)
     pids = {host.process.pid for host in fleet.hosts}
     admin = {host.member['admin_port'] for host in fleet.hosts}
-    rest = await costs_of(pids, count, admin, REST_S)
+    rest = await measure_costs(pids, count, admin, REST_S)
     show(f'config.process.bytes_per_s.{count}', rest.bytes_per_s)
     show(f'config.process.cpu_share.{count}', rest.cpu_share)
     show(f'config.process.memory_mb.{count}', rest.memory_mb)
@@ -61,24 +61,24 @@
     count: int,
     rest_bytes_per_s: float,
 ) -> None:
-    """Publish one change after the other; what each adds to the traffic."""
+    """Publish changes continuously and print the traffic per change."""
     generations = iter(range(2, 50))
 
     async def publish() -> None:
-        await fleet.publish(value_of(next(generations)))
+        await fleet.publish(build_bundle(next(generations)))
 
     pids = {host.process.pid for host in fleet.hosts}
     admin = {host.member['admin_port'] for host in fleet.hosts}
-    busy = await costs_of(pids, count, admin, CHANGING_S, publish)
+    busy = await measure_costs(pids, count, admin, CHANGING_S, publish)
     changes = next(generations) - 2
     added = (busy.bytes_per_s - rest_bytes_per_s) * CHANGING_S / changes
     show(f'config.process.bytes_per_change.{count}', added)
 
 
 async def _change(fleet: Fleet, generation: int) -> float:
-    """Publish; the seconds until the last process had it in force."""
+    """Publish a bundle and return the seconds until all have it in force."""
     at = time.time()
-    await fleet.publish(value_of(generation))
+    await fleet.publish(build_bundle(generation))
     states: list[Any] = []
 
     async def in_force() -> bool:
--- a/measure/_config_size.py
+++ b/measure/_config_size.py
@@ -1,4 +1,4 @@
-"""What bundles and member lists cost in bytes, time and memory, by size."""
+"""Bytes, time and memory that bundles and member lists cost, by size."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 import msgspec
-from _config_fleet import value_of
+from _config_fleet import build_bundle
 
 from crowrudder_core.config import ActiveConfig, Offer, PlatformReadPolicy
 from crowrudder_core.membership import (
@@ -46,29 +46,29 @@
 
 
 def show_sizes(show: Show) -> None:
-    """Show all of it."""
+    """Print the figures of bundles and member lists of all sizes."""
     for customers in CUSTOMERS:
-        _bundle(show, customers)
+        _show_bundle(show, customers)
     for count in MEMBERS:
-        _members(show, count)
+        _show_members(show, count)
 
 
-def _bundle(show: Show, customers: int) -> None:
-    value = value_of(1, customers=customers)
-    after = decode_bundle(value_of(2, customers=customers))
+def _show_bundle(show: Show, customers: int) -> None:
+    value = build_bundle(1, customers=customers)
+    after = decode_bundle(build_bundle(2, customers=customers))
     before = decode_bundle(value)
     delta = zlib.compress(encode_message(delta_between(before, after)))
     name = f'config.bundle.{customers}_customers'
     show(f'{name}.bytes', len(value))
     show(f'{name}.sent_whole_bytes', len(zlib.compress(value)))
     show(f'{name}.sent_change_bytes', len(delta))
-    show(f'{name}.whole_ms', _timed(lambda: _accept(value)))
+    show(f'{name}.whole_ms', _shortest_ms(lambda: _accept(value)))
 
-    def take_change() -> None:
-        way = decode_message(zlib.decompress(delta), BundleDelta)
-        _accept(apply_delta(before, way, digest=after.digest))
+    def apply_change() -> None:
+        bundle_delta = decode_message(zlib.decompress(delta), BundleDelta)
+        _accept(apply_delta(before, bundle_delta, digest=after.digest))
 
-    show(f'{name}.change_ms', _timed(take_change))
+    show(f'{name}.change_ms', _shortest_ms(apply_change))
     show(f'{name}.memory_mb', _memory_mb(lambda: _accept(value)))
 
 
@@ -78,35 +78,35 @@
     return active_config
 
 
-def _members(show: Show, count: int) -> None:
-    members = _fleet(count)
+def _show_members(show: Show, count: int) -> None:
+    members = _make_members(count)
     listed = msgspec.json.encode({'revision': 1, 'members': members})
-    changed = (*members[1:], _member(count))
-    known = MemberList()
-    known.on_platform(members, 1, 0)
-    base = known.edition
-    known.on_platform(changed, 2, 1)
-    delta = zlib.compress(encode_message(known.delta_from(base.digest)))
-    whole = zlib.compress(encode_message(known.whole()))
+    changed = (*members[1:], _make_member(count))
+    member_list = MemberList()
+    member_list.on_platform(members, 1, 0)
+    base = member_list.edition
+    member_list.on_platform(changed, 2, 1)
+    delta = zlib.compress(encode_message(member_list.delta_from(base.digest)))
+    whole = zlib.compress(encode_message(member_list.whole()))
     name = f'config.members.{count}'
     show(f'{name}.platform_bytes', len(listed))
     show(f'{name}.sent_whole_bytes', len(whole))
     show(f'{name}.sent_change_bytes', len(delta))
-    show(f'{name}.read_ms', _timed(lambda: decode_members(listed)))
-    show(f'{name}.change_ms', _timed(lambda: _take_list(changed)))
-    show(f'{name}.place_ms', _timed(lambda: _place(changed)))
-    show(f'{name}.memory_mb', _memory_mb(lambda: _view(count)))
+    show(f'{name}.read_ms', _shortest_ms(lambda: decode_members(listed)))
+    show(f'{name}.change_ms', _shortest_ms(lambda: _apply_member_list(changed)))
+    show(f'{name}.place_ms', _shortest_ms(lambda: _place(changed)))
+    show(f'{name}.memory_mb', _memory_mb(lambda: _make_view(count)))
 
 
-def _take_list(members: tuple[Member, ...]) -> None:
-    """Do what a process does with each new list, but for placing."""
-    view = _empty_view()
+def _apply_member_list(members: tuple[Member, ...]) -> None:
+    """Process a new member list as the daemon does, except placement."""
+    view = _make_empty_view()
     view.published.on_platform(members, 1, 0)
     view.on_list()
     seen = view.members()
     suspects = view.suspects()
-    reading = PlatformReadPolicy('host-0001', 'domain-1', started_at=0)
-    reading.on_members(seen, suspects)
+    read_policy = PlatformReadPolicy('host-0001', 'domain-1', started_at=0)
+    read_policy.on_members(seen, suspects)
     neighbours_of('host-0001', (each.host for each in seen))
 
 
@@ -115,21 +115,21 @@
     place(Declaration(1, services=(engines,)), members)
 
 
-def _view(count: int) -> MembershipView:
-    view = _empty_view()
-    view.published.on_platform(_fleet(count), 1, 0)
+def _make_view(count: int) -> MembershipView:
+    view = _make_empty_view()
+    view.published.on_platform(_make_members(count), 1, 0)
     return view
 
 
-def _empty_view() -> MembershipView:
+def _make_empty_view() -> MembershipView:
     return MembershipView(OwnStatus('host-0001', 'x', '127.0.0.1:1', 1))
 
 
-def _fleet(count: int) -> tuple[Member, ...]:
-    return tuple(_member(number) for number in range(count))
+def _make_members(count: int) -> tuple[Member, ...]:
+    return tuple(_make_member(number) for number in range(count))
 
 
-def _member(number: int) -> Member:
+def _make_member(number: int) -> Member:
     return Member(
         f'host-{number:04}',
         'agent',
@@ -142,12 +142,12 @@
     )
 
 
-def _timed(work: Callable[[], Any]) -> float:
-    """Give the shortest of some runs, in milliseconds."""
+def _shortest_ms(function: Callable[[], Any]) -> float:
+    """Return the shortest of several runs, in milliseconds."""
     took = []
     for _ in range(ROUNDS):
         begun = time.perf_counter()
-        work()
+        function()
         took.append(time.perf_counter() - begun)
     return min(took) * MS
 
--- a/measure/_config_workedout.py
+++ b/measure/_config_workedout.py
@@ -1,4 +1,7 @@
-"""What the daemon's own choices give at sizes that don't fit one machine."""
+"""Figures calculated for fleets that are too large for one machine.
+
+The watchers and neighbours are those that the daemon chooses.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,10 @@
 """Longest pause between two exchanges, and the timeout of a dead peer."""
 
 ROUNDS_MISSED = 3
-"""Exchanges until a host that the push missed has met a living peer: with a
-third dead, three dead ones in a row are met by 4 in 100 of the missed."""
+"""Exchanges until a host that the push missed has reached a living peer.
+
+With a third of the hosts dead, 4 in 100 of the missed hosts choose a dead peer
+three times in a row."""
 
 WATCH_S = 6.0
 
@@ -32,7 +37,7 @@
     measured_s: float,
     measured_at: int,
 ) -> None:
-    """Show hops, and the age of the last reading, from the real choices.
+    """Print hops and the age of the last platform read.
 
     Parameters
     ----------
@@ -45,12 +50,12 @@
         members = _members(count)
         links = _links(members)
         watchers = _watchers(members)
-        hops, missed = _push(links, watchers, dead=set())
+        hops, missed = _simulate_push(links, watchers, dead=set())
         hops_of[count] = hops
         show(f'config.worked_out.hops.{count}', hops)
         show(f'config.worked_out.missed_by_push.{count}', missed)
     dead = set(random.Random(1).sample(sorted(links), FULL // 3))
-    hops, missed = _push(links, watchers, dead=dead)
+    hops, missed = _simulate_push(links, watchers, dead=dead)
     show(f'config.worked_out.hops.third_dead.{FULL}', hops)
     show(f'config.worked_out.missed_by_push.third_dead.{FULL}', missed)
     hop_s = measured_s / hops_of[measured_at]
@@ -58,7 +63,10 @@
     show(f'config.worked_out.everywhere_s.{FULL}', everywhere_s)
     missed_s = hops * hop_s + LONGEST_ROUND_S * ROUNDS_MISSED
     show(f'config.worked_out.everywhere_s.third_dead.{FULL}', missed_s)
-    show(f'config.worked_out.read_age_s.{FULL}', _oldest_age(links, watchers))
+    show(
+        f'config.worked_out.read_age_s.{FULL}',
+        _simulate_oldest_age(links, watchers),
+    )
     calls = 2 * len(watchers) / WATCH_S
     show(f'config.worked_out.platform_calls_per_s.idle.{FULL}', calls)
     show(
@@ -92,28 +100,30 @@
     }
 
 
-def _push(
+def _simulate_push(
     links: dict[str, list[str]],
-    starts: set[str],
+    sources: set[str],
     *,
     dead: set[str],
 ) -> tuple[int, int]:
-    """Follow a push from the watchers; hops, and hosts that it misses."""
-    front = starts - dead
-    seen, hops = set(front), 0
+    """Return the hops of a push from the watchers, and the hosts it misses."""
+    front = sources - dead
+    reached, hops = set(front), 0
     while front:
-        told = {peer for host in front for peer in links[host]}
-        front = told - seen - dead
-        seen |= front
+        neighbours = {peer for host in front for peer in links[host]}
+        front = neighbours - reached - dead
+        reached |= front
         hops += bool(front)
-    return hops, len(links) - len(dead) - len(seen)
+    return hops, len(links) - len(dead) - len(reached)
 
 
-def _oldest_age(links: dict[str, list[str]], watchers: set[str]) -> float:
-    """Let the ages travel with exchanges for a while; the oldest in force.
+def _simulate_oldest_age(
+    links: dict[str, list[str]], watchers: set[str]
+) -> float:
+    """Return the greatest age of the last platform read on any host.
 
-    One exchange of each host in each round, with a random neighbour; both
-    sides have the younger age after it. A watcher reads every `WATCH_S`.
+    In each round, each host exchanges its age with a random neighbour, and
+    both keep the lower one. A watcher reads every `WATCH_S`.
     """
     rng = random.Random(2)
     ages = dict.fromkeys(links, 0.0)
--- a/measure/_config_worker.py
+++ b/measure/_config_worker.py
@@ -1,10 +1,11 @@
-"""Several processes' knowledge in one, with real sockets, for large fleets.
+"""Run the knowledge tasks of several fleet members in one process.
 
 Usage: _config_worker.py PLATFORM POLL_S < one line of JSON members
 
-Each member of the line gets a `KnowledgeTask` of the daemon with a server and
-channels of its own; only the interpreter is shared. Prints a line of JSON for
-each bundle that comes into force. Commands on standard input: ``stop HOST``.
+Each member gets a `KnowledgeTask` of the daemon with its own server, channels
+and real sockets; only the interpreter is shared, so that large fleets fit one
+machine. Prints a line of JSON for each bundle that comes into force. Commands
+on standard input: ``stop HOST`` and ``start HOST``.
 """
 
 from __future__ import annotations
@@ -32,14 +33,14 @@
 LINE_BYTES = 1 << 22
 
 
-class Known:
-    """One member's knowledge, and what it was last."""
+class WorkerMember:
+    """A member's knowledge task and the order of its last bundle."""
 
     def __init__(self, member: dict[str, Any], platform: str, poll_s: float):
         keys = ('host', 'role', 'address', 'rpc_port', 'admin_port')
-        places = ('http_port', 'region', 'failure_domain')
+        location_keys = ('http_port', 'region', 'failure_domain')
         process = ProcessSection(
-            **{key: member[key] for key in (*keys, *places)},
+            **{key: member[key] for key in (*keys, *location_keys)},
         )
         self.host = member['host']
         self.runtime = Runtime(
@@ -54,37 +55,37 @@
         self.order: tuple[int, str] = (0, '')
 
     def on_change(self, snapshot: Snapshot) -> None:
-        """Tell of a bundle that came into force."""
+        """Report a bundle that came into force."""
         if snapshot.order == self.order:
             return
         self.order = snapshot.order
-        say(
+        write_line(
             host=self.host,
-            life=self.runtime.incarnation,
+            incarnation=self.runtime.incarnation,
             generation=snapshot.order[0],
             digest=snapshot.order[1],
             at=time.monotonic(),
         )
 
     async def start(self) -> None:
-        """Listen and learn."""
+        """Start the server and the knowledge task."""
         self.task.serve(self.server)
         await self.server.start()
         self.task.start()
 
     async def stop(self) -> None:
-        """Be gone, without a word."""
+        """Stop without a notice to other members."""
         await self.server.stop(0)
         await self.task.stop()
 
 
-def say(**facts: Any) -> None:
-    """Write a line."""
+def write_line(**facts: Any) -> None:
+    """Write the facts as one line of JSON."""
     print(json.dumps(facts), flush=True)
 
 
 async def main() -> None:
-    """Run until the input ends."""
+    """Run all members and execute commands until the input ends."""
     logging.disable(logging.CRITICAL)
     platform, poll_s = sys.argv[1], float(sys.argv[2])
     reader = asyncio.StreamReader(limit=LINE_BYTES)
@@ -94,20 +95,20 @@
     )
     members = json.loads(await reader.readline())
     by_host = {member['host']: member for member in members}
-    known = {
-        host: Known(member, platform, poll_s)
+    running = {
+        host: WorkerMember(member, platform, poll_s)
         for host, member in by_host.items()
     }
-    for started in known.values():
+    for started in running.values():
         await started.start()
-    say(ready=len(known))
+    write_line(ready=len(running))
     while line := (await reader.readline()).decode().split():
         command, host = line
         if command == 'stop':
-            await known.pop(host).stop()
+            await running.pop(host).stop()
         if command == 'start':
-            known[host] = Known(by_host[host], platform, poll_s)
-            await known[host].start()
+            running[host] = WorkerMember(by_host[host], platform, poll_s)
+            await running[host].start()
 
 
 if __name__ == '__main__':
