--- a/measure/_report_figures.py
+++ b/measure/_report_figures.py
@@ -1,4 +1,4 @@
-"""Reading what measurements and experiments wrote."""
+"""Read the results of measurements and experiments."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReportError(Exception):
-    """A file that a report can't be made of."""
+    """A file can't be read as measured figures or experiment results."""
 
     def __init__(self, file: str, found: str, allowed: str) -> None:
         super().__init__(f'{file}: found {found}, allowed: {allowed}')
@@ -19,7 +19,7 @@
 
 @frozen
 class Figure:
-    """A measured figure, as `name=value` was printed.
+    """A measured figure, printed as `name=value`.
 
     >>> Figure('weights.origin_copies.32', '1.02').number
     1.02
@@ -30,7 +30,7 @@
 
     @property
     def number(self) -> float | None:
-        """Its value; None if it isn't a number."""
+        """The value; None if it isn't a number."""
         try:
             return float(self.text)
         except ValueError:
@@ -38,14 +38,14 @@
 
     @property
     def size(self) -> int | None:
-        """The number of processes at the end of its name, if there is one."""
+        """The number of processes at the end of the name, if present."""
         last = self.name.rpartition('.')[2]
         return int(last) if last.isascii() and last.isdigit() else None
 
 
 @frozen
 class Series:
-    """One figure at several sizes, in their order."""
+    """One figure at several fleet sizes, in ascending order."""
 
     name: str
     points: tuple[tuple[int, float], ...]
@@ -54,12 +54,12 @@
 def read_figures(path: Path) -> tuple[Figure, ...]:
     """Read the lines that `run.py --out` wrote.
 
-    A name that was measured again counts with its last value.
+    If a name occurs more than once, its last value counts.
 
     Raises
     ------
     ReportError
-        For a line that isn't `name=value`, with its number.
+        If a line isn't `name=value`; the message has its number.
     """
     figures: dict[str, Figure] = {}
     for number, line in enumerate(_read(path).splitlines(), start=1):
@@ -82,8 +82,8 @@
     points: dict[str, list[tuple[int, float]]] = defaultdict(list)
     for figure in figures:
         name = figure.name.rpartition('.')[0]
-        mine = any(f'{name}.'.startswith(f'{each}.') for each in prefixes)
-        if mine and figure.size is not None and figure.number is not None:
+        matches = any(f'{name}.'.startswith(f'{each}.') for each in prefixes)
+        if matches and figure.size is not None and figure.number is not None:
             points[name].append((figure.size, figure.number))
     return tuple(
         Series(name, tuple(sorted(points[name]))) for name in sorted(points)
@@ -91,7 +91,7 @@
 
 
 @frozen(kw_only=True)
-class Times:
+class Quantiles:
     """Quantiles in seconds; None where nothing was measured."""
 
     p50: float | None
@@ -107,23 +107,23 @@
     seconds: float
     requests: int
     good: int
-    latency: Times
-    first_token: Times
+    latency: Quantiles
+    first_token: Quantiles
 
     @property
     def rate_per_s(self) -> float:
-        """The rate that was offered."""
+        """The offered rate."""
         return self.requests / self.seconds
 
     @property
     def goodput_per_s(self) -> float:
-        """Whole answers within their deadlines, a second."""
+        """Complete answers within their deadlines, per second."""
         return self.good / self.seconds
 
 
 @frozen(kw_only=True)
 class Summary:
-    """What an experiment measured."""
+    """Measurements of an experiment, in total and by phase."""
 
     total: Group
     phases: tuple[Group, ...]
@@ -131,7 +131,7 @@
 
 @frozen(kw_only=True)
 class Promise:
-    """A bound of an experiment and what was measured."""
+    """A bound of an experiment and the measured figure."""
 
     name: str
     figure: str
@@ -155,12 +155,12 @@
 
 
 def read_result(path: Path) -> ExperimentResult:
-    """Read what `experiment.py --out` wrote.
+    """Read the JSON that `experiment.py --out` wrote.
 
     Raises
     ------
     ReportError
-        If it is something else.
+        If the file isn't the JSON of an experiment.
     """
     try:
         return msgspec.json.decode(_read(path), type=ExperimentResult)
--- a/measure/_report_goals.py
+++ b/measure/_report_goals.py
@@ -1,4 +1,4 @@
-"""The goals of the issues, beside the figures that were measured."""
+"""The goals of the issues, compared with the measured figures."""
 
 from __future__ import annotations
 
@@ -30,50 +30,55 @@
     names: str
     least: float | None = None
     most: float | None = None
-    rivals: str = ''
-    """Names of the baselines that have to be worse, in the same run."""
+    baselines: str = ''
+    """Pattern of the baselines that must be worse in the same run."""
 
     def __str__(self) -> str:
-        """Give the bound."""
+        """Return the bounds as text."""
         bounds = (('≥', self.least), ('≤', self.most))
         shown = [
             f'{sign} {bound:g}' for sign, bound in bounds if bound is not None
         ]
-        if self.rivals:
-            shown.append(f'ahead of `{self.rivals}`')
+        if self.baselines:
+            shown.append(f'ahead of `{self.baselines}`')
         return ', '.join(shown)
 
     def covers(self, figure: Figure) -> bool:
-        """Whether the goal is about this figure."""
+        """Return whether the goal applies to this figure."""
         return fnmatchcase(figure.name, self.names)
 
-    def judge(self, figure: Figure, known: Iterable[Figure] = ()) -> Verdict:
-        """Hold a figure against the bound; text meets no bound.
+    def evaluate(self, figure: Figure, known: Iterable[Figure] = ()) -> Verdict:
+        """Compare a figure with the bounds; text never meets them.
 
         Parameters
         ----------
         known
-            All figures, among them the baselines.
+            All figures, including the baselines.
         """
         number = figure.number
         if number is None:
             return Verdict.NOT_MET
         enough = self.least is None or number >= self.least
         little = self.most is None or number <= self.most
-        met = enough and little and self._is_ahead(number, known)
+        met = (
+            enough and little and self._is_better_than_baselines(number, known)
+        )
         return Verdict.MET if met else Verdict.NOT_MET
 
-    def _is_ahead(self, number: float, known: Iterable[Figure]) -> bool:
-        rivals = [
+    def _is_better_than_baselines(
+        self, number: float, known: Iterable[Figure]
+    ) -> bool:
+        baselines = [
             each.number
             for each in known
-            if fnmatchcase(each.name, self.rivals) and each.number is not None
+            if fnmatchcase(each.name, self.baselines)
+            and each.number is not None
         ]
-        if not rivals:
-            return not self.rivals
+        if not baselines:
+            return not self.baselines
         if self.most is None:
-            return number > max(rivals)
-        return number < min(rivals)
+            return number > max(baselines)
+        return number < min(baselines)
 
 
 GOALS = (
@@ -86,13 +91,13 @@
         issue=5,
         names='route.p99_over_ideal',
         most=1.3,
-        rivals='route.*.p99_over_ideal',
+        baselines='route.*.p99_over_ideal',
     ),
     Goal(
         issue=5,
         names='route.p95_ttft_over_ideal',
         most=1.3,
-        rivals='route.*.p95_ttft_over_ideal',
+        baselines='route.*.p95_ttft_over_ideal',
     ),
     Goal(issue=5, names='route.cache_hit_ratio', least=0.85),
     Goal(issue=5, names='route.cache_fullest_over_mean', most=1.25),
@@ -115,24 +120,24 @@
 
 
 @frozen
-class Judged:
-    """A goal with a figure that it covers, or None for a goal without one."""
+class GoalResult:
+    """A goal with its verdict on a figure, which is None if not measured."""
 
     goal: Goal
     figure: Figure | None
     verdict: Verdict
 
 
-def judge_all(figures: Iterable[Figure]) -> tuple[Judged, ...]:
-    """Hold all figures against all goals, in the order of the goals."""
+def evaluate_goals(figures: Iterable[Figure]) -> tuple[GoalResult, ...]:
+    """Compare all figures with all goals, in the order of the goals."""
     known = tuple(figures)
-    judged: list[Judged] = []
+    results: list[GoalResult] = []
     for goal in GOALS:
         covered = [figure for figure in known if goal.covers(figure)]
-        judged.extend(
-            Judged(goal, figure, goal.judge(figure, known))
+        results.extend(
+            GoalResult(goal, figure, goal.evaluate(figure, known))
             for figure in covered
         )
         if not covered:
-            judged.append(Judged(goal, None, Verdict.NOT_MEASURED))
-    return tuple(judged)
+            results.append(GoalResult(goal, None, Verdict.NOT_MEASURED))
+    return tuple(results)
--- a/measure/_report_plots.py
+++ b/measure/_report_plots.py
@@ -32,14 +32,14 @@
     baselines: str = ''
 
     def series(self, figures: Sequence[Figure]) -> tuple[Series, ...]:
-        """Collect what the plot shows."""
+        """Return the series that the plot shows."""
         prefixes = (
             [self.prefix, self.baselines] if self.baselines else [self.prefix]
         )
         return series_of(figures, *prefixes)
 
     def label(self, series: Series) -> str:
-        """Name a series within the plot."""
+        """Return the label of a series in the legend."""
         if series.name == self.prefix:
             return 'crowrudder'
         kept = series.name.removeprefix(f'{self.prefix}.')
@@ -72,8 +72,8 @@
 )
 
 
-def available() -> bool:
-    """Tell whether matplotlib is installed."""
+def has_matplotlib() -> bool:
+    """Return whether matplotlib is installed."""
     return importing.find_spec('matplotlib') is not None
 
 
@@ -82,20 +82,20 @@
     results: Sequence[ExperimentResult],
     out: Path,
 ) -> tuple[str, ...]:
-    """Draw what there are figures for, and name the files."""
-    drawn = [
+    """Draw all plots that have figures and return their file names."""
+    files = [
         _draw_sizes(plot, figures, out)
         for plot in SIZE_PLOTS
         if plot.series(figures)
     ]
     if results:
-        drawn.append(_draw_goodput(results, out))
-        drawn.append(_draw_latency(results, out))
-    return tuple(drawn)
+        files.append(_draw_goodput(results, out))
+        files.append(_draw_latency(results, out))
+    return tuple(files)
 
 
 def _pyplot() -> Any:
-    # Without a screen; and imported late, as it may not be installed.
+    # Agg needs no display. Imported late, as matplotlib is optional.
     importlib.import_module('matplotlib').use('Agg')
     return importlib.import_module('matplotlib.pyplot')
 
@@ -132,7 +132,7 @@
         sizes.update(size for size, _ in series.points)
     if plot.goal is not None:
         axes.axhline(plot.goal, color='grey', linestyle=':', label='goal')
-    # Sizes double, and so does what a bad way costs.
+    # Sizes double, and so does the cost of an algorithm that scales badly.
     axes.set_xscale('log', base=2)
     axes.set_yscale('log')
     axes.set_xticks(sorted(sizes), labels=[str(size) for size in sorted(sizes)])
@@ -146,7 +146,7 @@
 
 
 def _locator(axes: Any) -> Any:
-    """Give round ticks on a log axis, also within one decade."""
+    """Return a locator for round ticks on a log axis, also in one decade."""
     ticker = importlib.import_module('matplotlib.ticker')
     low, high = axes.get_ylim()
     parts = (1, 2, 5) if high / low > 8 else (1, 1.5, 2, 3, 4, 5, 7)
@@ -178,10 +178,10 @@
             getattr(result.summary.total.latency, quantile) or 0
             for result in results
         ]
-        places = [
+        positions = [
             place + (number - 1) * _BAR_WIDTH for place in range(len(times))
         ]
-        bars = axes.bar(places, times, _BAR_WIDTH, label=quantile)
+        bars = axes.bar(positions, times, _BAR_WIDTH, label=quantile)
         axes.bar_label(bars, fmt='{:.2g}', fontsize='x-small')
     names = [result.experiment.replace('-', '-\n', 1) for result in results]
     axes.set_xticks(range(len(names)), labels=names, fontsize='small')
--- a/measure/_report_tables.py
+++ b/measure/_report_tables.py
@@ -8,25 +8,25 @@
     from collections.abc import Iterable, Sequence
 
     from _report_figures import ExperimentResult, Figure, Group, Promise, Series
-    from _report_goals import Judged
+    from _report_goals import GoalResult
 
 
-def markdown(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """Lay out a table.
+def markdown(header: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Return a Markdown table.
 
     >>> print(markdown(('a', 'b'), [('1', '2')]))
     | a | b |
     |---|---|
     | 1 | 2 |
     """
-    lines = [head, *rows]
+    lines = [header, *rows]
     shown = [f'| {" | ".join(line)} |' for line in lines]
-    shown.insert(1, f'|{"---|" * len(head)}')
+    shown.insert(1, f'|{"---|" * len(header)}')
     return '\n'.join(shown)
 
 
-def goals_table(judged: Iterable[Judged]) -> str:
-    """Show each goal with its figure and whether it was met."""
+def goals_table(results: Iterable[GoalResult]) -> str:
+    """Return a table of the goals with their figures and verdicts."""
     rows = [
         (
             str(each.goal.issue),
@@ -35,27 +35,27 @@
             each.figure.text if each.figure else '',
             each.verdict.value,
         )
-        for each in judged
+        for each in results
     ]
     return markdown(('issue', 'figure', 'goal', 'measured', ''), rows)
 
 
 def sizes_table(series: Sequence[Series]) -> str:
-    """Show a figure and its variants over the numbers of processes."""
+    """Return a table of a figure and its variants by number of processes."""
     sizes = sorted({size for each in series for size, _ in each.points})
-    head = ('', *(f'N = {size}' for size in sizes))
-    return markdown(head, (_sizes_row(each, sizes) for each in series))
+    header = ('', *(f'N = {size}' for size in sizes))
+    return markdown(header, (_sizes_row(each, sizes) for each in series))
 
 
 def figures_table(figures: Iterable[Figure]) -> str:
-    """Show all figures as they were printed."""
+    """Return a table of all figures as they were printed."""
     rows = [(f'`{figure.name}`', figure.text) for figure in figures]
     return markdown(('figure', 'measured'), rows)
 
 
 def phases_table(result: ExperimentResult) -> str:
-    """Show the phases of an experiment; times in seconds."""
-    head = (
+    """Return a table of the phases of an experiment; times in seconds."""
+    header = (
         'phase',
         'requests',
         'rate/s',
@@ -66,11 +66,11 @@
         'first token p95',
     )
     groups = (*result.summary.phases, result.summary.total)
-    return markdown(head, map(_phase_row, groups))
+    return markdown(header, map(_phase_row, groups))
 
 
 def promises_table(result: ExperimentResult) -> str:
-    """Show the promises of an experiment."""
+    """Return a table of the promises of an experiment."""
     rows = [
         (
             each.name,
--- a/measure/report.py
+++ b/measure/report.py
@@ -19,8 +19,8 @@
 from typing import TYPE_CHECKING
 
 from _report_figures import ReportError, read_figures, read_result
-from _report_goals import Verdict, judge_all
-from _report_plots import SIZE_PLOTS, available, draw_all
+from _report_goals import Verdict, evaluate_goals
+from _report_plots import SIZE_PLOTS, draw_all, has_matplotlib
 from _report_tables import (
     figures_table,
     goals_table,
@@ -43,19 +43,19 @@
     results: Sequence[ExperimentResult],
     plots: Sequence[str] | None,
 ) -> str:
-    """Give the whole report as Markdown.
+    """Return the complete report as Markdown.
 
     Parameters
     ----------
     plots
-        The files that were drawn; None if nothing could be drawn.
+        The plot files; None if matplotlib is not installed.
     """
-    judged = judge_all(figures)
-    met = [each.verdict for each in judged].count(Verdict.MET)
+    goal_results = evaluate_goals(figures)
+    met = [each.verdict for each in goal_results].count(Verdict.MET)
     parts = [
         '# Measured',
-        f'Goals met: {met} of {len(judged)}.',
-        goals_table(judged),
+        f'Goals met: {met} of {len(goal_results)}.',
+        goals_table(goal_results),
     ]
     for plot in SIZE_PLOTS:
         series = plot.series(figures)
@@ -77,8 +77,8 @@
 
 
 def _image(file: str, plots: Sequence[str] | None) -> list[str]:
-    drawn = file in (plots or ())
-    return [f'![{file.removesuffix(".png")}]({file})'] if drawn else []
+    is_plotted = file in (plots or ())
+    return [f'![{file.removesuffix(".png")}]({file})'] if is_plotted else []
 
 
 def _experiment(result: ExperimentResult) -> list[str]:
@@ -98,7 +98,7 @@
 
 
 def main() -> int:
-    """Read, write, and say what was written."""
+    """Write the report and print the names of its files."""
     options = docopt(__doc__ or '')
     file = options['--figures']
     out = Path(options['--out'])
@@ -109,7 +109,7 @@
         print(exc, file=sys.stderr)
         return 2
     out.mkdir(parents=True, exist_ok=True)
-    plots = draw_all(figures, results, out) if available() else None
+    plots = draw_all(figures, results, out) if has_matplotlib() else None
     path = out / 'report.md'
     path.write_text(report_text(figures, results, plots), encoding='utf-8')
     print(f'written: {path}', *(plots or ()))
--- a/tests/scripts/test_report.py
+++ b/tests/scripts/test_report.py
@@ -10,7 +10,7 @@
     read_result,
     series_of,
 )
-from _report_goals import GOALS, Verdict, judge_all
+from _report_goals import GOALS, Verdict, evaluate_goals
 from _report_tables import sizes_table
 from report import NO_PLOTS, report_text
 
@@ -41,7 +41,7 @@
 
 
 def verdicts(*figures):
-    return {each.goal.names: each.verdict for each in judge_all(figures)}
+    return {each.goal.names: each.verdict for each in evaluate_goals(figures)}
 
 
 class TestFigures:
