--- a/measure/codec.py
+++ b/measure/codec.py
@@ -18,13 +18,13 @@
 MICRO = 1_000_000
 
 
-def _best_us(work: Callable[[], object]) -> float:
-    best_s = min(timeit.repeat(work, number=ROUNDS, repeat=REPEATS))
+def _best_us(function: Callable[[], object]) -> float:
+    best_s = min(timeit.repeat(function, number=ROUNDS, repeat=REPEATS))
     return best_s / ROUNDS * MICRO
 
 
 def run(show: Callable[[str, float | str], None]) -> None:
-    """Compare MessagePack with JSON, both by msgspec over attrs classes."""
+    """Compare MessagePack with JSON; msgspec encodes attrs classes in both."""
     message = RunServerMessage(
         piece=Piece(
             request_id='0123456789abcdef0123456789abcdef',
@@ -33,19 +33,19 @@
             text='listing-v1:7:abcdef01 ',
         ),
     )
-    packed = encode_message(message)
-    spelled = msgspec.json.encode(message)
-    pack_us = _best_us(lambda: encode_message(message))
-    unpack_us = _best_us(lambda: decode_message(packed, RunServerMessage))
-    spell_us = _best_us(lambda: msgspec.json.encode(message))
-    read_us = _best_us(
-        lambda: msgspec.json.decode(spelled, type=RunServerMessage)
+    encoded = encode_message(message)
+    json_encoded = msgspec.json.encode(message)
+    encode_us = _best_us(lambda: encode_message(message))
+    decode_us = _best_us(lambda: decode_message(encoded, RunServerMessage))
+    json_encode_us = _best_us(lambda: msgspec.json.encode(message))
+    json_decode_us = _best_us(
+        lambda: msgspec.json.decode(json_encoded, type=RunServerMessage)
     )
-    show('codec.encode_us', pack_us)
-    show('codec.decode_us', unpack_us)
+    show('codec.encode_us', encode_us)
+    show('codec.decode_us', decode_us)
     show(
         'codec.json_time_over_msgpack',
-        (spell_us + read_us) / (pack_us + unpack_us),
+        (json_encode_us + json_decode_us) / (encode_us + decode_us),
     )
-    show('codec.bytes', len(packed))
-    show('codec.json_bytes_over_msgpack', len(spelled) / len(packed))
+    show('codec.bytes', len(encoded))
+    show('codec.json_bytes_over_msgpack', len(json_encoded) / len(encoded))
--- a/measure/records.py
+++ b/measure/records.py
@@ -1,8 +1,8 @@
 """Bytes and processor time of a large configuration between processes.
 
 `records.as_published`, `records.grpc` and `records.deflated_once` are three
-ways to answer a call for it: the record as it stands, the same compressed by
-gRPC for each answer, and deflated by whoever read it, as the fleet does.
+ways to send the record: uncompressed, compressed by gRPC for each answer, and
+deflated once by the process that read it, as the fleet does.
 """
 
 from __future__ import annotations
@@ -31,20 +31,20 @@
 ANSWERS = 10
 ROUNDS = 5
 MS = 1000
-PIECE_BYTES = 65_536
+READ_BYTES = 65_536
 
 
 @frozen
-class Way:
-    """How a record is sent."""
+class RecordVariant:
+    """A record as it is sent, with the compression of gRPC."""
 
     name: str
     item: PublishedItem
     compression: grpc.Compression = grpc.Compression.NoCompression
 
 
-class Counter:
-    """Stands before a server and counts what it answers."""
+class CountingProxy:
+    """TCP proxy that counts the bytes that a server sends."""
 
     def __init__(self, port: int) -> None:
         self._port = port
@@ -53,41 +53,43 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carry one connection in both directions."""
-        onward, back = await asyncio.open_connection('127.0.0.1', self._port)
+        """Forward one connection in both directions."""
+        server_reader, server_writer = await asyncio.open_connection(
+            '127.0.0.1', self._port
+        )
         await asyncio.gather(
-            self._carry(reader, back, counts=False),
-            self._carry(onward, writer, counts=True),
+            self._forward(reader, server_writer, is_counted=False),
+            self._forward(server_reader, writer, is_counted=True),
         )
 
-    async def _carry(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        counts: bool,
+        is_counted: bool,
     ) -> None:
-        while piece := await reader.read(PIECE_BYTES):
-            self.answered_bytes += counts * len(piece)
+        while piece := await reader.read(READ_BYTES):
+            self.answered_bytes += is_counted * len(piece)
             writer.write(piece)
         writer.close()
 
 
 def run(show: Show) -> None:
-    """Measure the forms of a record, then the ways of sending it."""
+    """Measure the sizes of a record, then the variants of sending it."""
     item = _configuration()
     sent = deflate_record(item)
     show('records.published_bytes', len(item.payload or b''))
     show('records.deflated_bytes', len(sent.payload or b''))
     show('records.deflate_ms', _least_ms(lambda: deflate_record(item)))
     show('records.inflate_ms', _least_ms(lambda: inflate_record(sent)))
-    ways = (
-        Way('as_published', item),
-        Way('grpc', item, grpc.Compression.Gzip),
-        Way('deflated_once', sent),
+    variants = (
+        RecordVariant('as_published', item),
+        RecordVariant('grpc', item, grpc.Compression.Gzip),
+        RecordVariant('deflated_once', sent),
     )
-    for way in ways:
-        asyncio.run(_measure(show, way))
+    for variant in variants:
+        asyncio.run(_measure(show, variant))
 
 
 def _configuration() -> PublishedItem:
@@ -110,16 +112,18 @@
     return PublishedItem(key='op/config', revision=1, payload=payload)
 
 
-async def _measure(show: Show, way: Way) -> None:
-    """Answer some calls over one connection, and some that are counted."""
+async def _measure(show: Show, variant: RecordVariant) -> None:
+    """Measure the time of calls, then their bytes through a proxy."""
 
-    async def answer(_ask: ChangesRequest, _context: object) -> Changes:
-        return Changes(through=1, items=(way.item,))
+    async def answer(_request: ChangesRequest, _context: object) -> Changes:
+        return Changes(through=1, items=(variant.item,))
 
-    server = aio.server(compression=way.compression)
+    server = aio.server(compression=variant.compression)
     handler = grpc.unary_unary_rpc_method_handler(
         answer,
-        request_deserializer=lambda ask: decode_message(ask, ChangesRequest),
+        request_deserializer=lambda request: decode_message(
+            request, ChangesRequest
+        ),
         response_serializer=encode_message,
     )
     server.add_generic_rpc_handlers(
@@ -133,26 +137,26 @@
     await server.start()
     client = PeerClient()
     took_ms = [await _answers_ms(client, port) for _ in range(ROUNDS)]
-    show(f'records.{way.name}.ten_answers_cpu_ms', min(took_ms))
-    counter = Counter(port)
-    before = await asyncio.start_server(counter.serve, '127.0.0.1', 0)
+    show(f'records.{variant.name}.ten_answers_cpu_ms', min(took_ms))
+    proxy = CountingProxy(port)
+    before = await asyncio.start_server(proxy.serve, '127.0.0.1', 0)
     counted_port = before.sockets[0].getsockname()[1]
     await _answers_ms(client, counted_port)
-    answered_bytes = counter.answered_bytes
+    answered_bytes = proxy.answered_bytes
     await _answers_ms(client, counted_port)
-    answered_bytes = counter.answered_bytes - answered_bytes
-    show(f'records.{way.name}.answer_bytes', answered_bytes / ANSWERS)
+    answered_bytes = proxy.answered_bytes - answered_bytes
+    show(f'records.{variant.name}.answer_bytes', answered_bytes / ANSWERS)
     await client.close()
     before.close()
     await server.stop(0)
 
 
 async def _answers_ms(client: PeerClient, port: int) -> float:
-    """Give the processor time of some answers, both ends together."""
+    """Return the processor time of `ANSWERS` calls, client and server."""
     begun = time.process_time()
     for _ in range(ANSWERS):
-        ask = ChangesRequest(0, takes_deflated=True)
-        reply = await client.call(f'127.0.0.1:{port}', CHANGES, ask)
+        request = ChangesRequest(0, takes_deflated=True)
+        reply = await client.call(f'127.0.0.1:{port}', CHANGES, request)
         inflate_record(reply.items[0])
     return (time.process_time() - begun) * MS
 
--- a/measure/run.py
+++ b/measure/run.py
@@ -27,13 +27,13 @@
 
 
 def available() -> list[str]:
-    """Give the areas that have a module here, in a fixed order."""
+    """Return the areas that have a module here, in a fixed order."""
     here = Path(__file__).parent
     return [area for area in AREAS if (here / f'{area}.py').exists()]
 
 
-def shower(out: str | None) -> Callable[[str, float | str], None]:
-    """Make the function that prints a figure."""
+def make_show(out: str | None) -> Callable[[str, float | str], None]:
+    """Return the function that prints a figure."""
 
     def show(name: str, figure: float | str) -> None:
         text = figure if isinstance(figure, str) else f'{figure:.4g}'
@@ -47,7 +47,7 @@
 
 
 def main() -> int:
-    """Run the areas that were asked for."""
+    """Run the requested areas."""
     options = docopt(__doc__ or '')
     areas = options['AREA'] or available()
     unknown = sorted(set(areas) - {*available(), *BY_NAME})
@@ -57,7 +57,7 @@
     # Some areas start fleets of processes, as the scripts do.
     sys.path.append(str(Path(__file__).parent.parent / 'scripts'))
     for area in areas:
-        importlib.import_module(area).run(shower(options['--out']))
+        importlib.import_module(area).run(make_show(options['--out']))
     return 0
 
 
--- a/measure/state.py
+++ b/measure/state.py
@@ -1,4 +1,4 @@
-"""Memory of what a process keeps for each request, and sizes of messages."""
+"""Memory that a process keeps for each request, and sizes of messages."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     )
 
 
-def _ask(number: int) -> ClaimRequest:
+def _claim_request(number: int) -> ClaimRequest:
     return ClaimRequest(
         request_id=f'{number:032x}',
         owner='f' * 16,
@@ -48,10 +48,10 @@
 
 
 def _claims(count: int) -> object:
-    book = ClaimRegistry()
+    registry = ClaimRegistry()
     for number in range(count):
-        book.claim(_ask(number), now=0.0)
-    return book
+        registry.claim(_claim_request(number), now=0.0)
+    return registry
 
 
 def _records(count: int) -> object:
@@ -85,12 +85,17 @@
     ]
 
 
-def _bytes_each(make: Callable[[int], object]) -> float:
-    """Give the slope between two sizes, so that constant parts drop out."""
-    return (_bytes_of(make, MANY) - _bytes_of(make, FEW)) / (MANY - FEW)
+def _bytes_per_item(make: Callable[[int], object]) -> float:
+    """Return the bytes per item.
+
+    The slope between two counts excludes the constant part.
+    """
+    return (_allocated_bytes(make, MANY) - _allocated_bytes(make, FEW)) / (
+        MANY - FEW
+    )
 
 
-def _bytes_of(make: Callable[[int], object], count: int) -> int:
+def _allocated_bytes(make: Callable[[int], object], count: int) -> int:
     tracemalloc.start()
     kept = make(count)
     size, _ = tracemalloc.get_traced_memory()
@@ -100,11 +105,11 @@
 
 
 def run(show: Callable[[str, float | str], None]) -> None:
-    """Print bytes for each kept request and for each message."""
-    show('state.claim_bytes', _bytes_each(_claims))
-    show('state.ledger_record_bytes', _bytes_each(_records))
-    show('state.owner_bytes', _bytes_each(_owners))
-    show('state.piece_bytes', _bytes_each(_pieces))
+    """Print the bytes of each kept request and of each message."""
+    show('state.claim_bytes', _bytes_per_item(_claims))
+    show('state.ledger_record_bytes', _bytes_per_item(_records))
+    show('state.owner_bytes', _bytes_per_item(_owners))
+    show('state.piece_bytes', _bytes_per_item(_pieces))
     report = Report(
         host='engine-1234',
         incarnation='f' * 16,
@@ -120,4 +125,4 @@
         digest='f' * 64,
     )
     show('state.report_message_bytes', len(encode_message(report)))
-    show('state.claim_message_bytes', len(encode_message(_ask(1))))
+    show('state.claim_message_bytes', len(encode_message(_claim_request(1))))
