--- a/measure/_config_fleet.py
+++ b/measure/_config_fleet.py
@@ -194,7 +194,7 @@
                     return found
                 await self._wait_for_event()
 
-    async def send_command(self, command: str, host: str) -> None:
+    async def order(self, command: str, host: str) -> None:
         """Stop or start a member's knowledge task without notice to others."""
         number = int(host.rpartition('-')[2]) % self._workers
         stdin = self._children[number].stdin
--- a/measure/config.py
+++ b/measure/config.py
@@ -115,7 +115,7 @@
     watchers = fleet.watchers()
     dead = set(watchers[::2])
     for host in dead:
-        await fleet.send_command('stop', host)
+        await fleet.order('stop', host)
     hosts = {each['host'] for each in fleet.members} - dead
     took = []
     for generation in range(20, 24):
@@ -165,9 +165,9 @@
         generation += rng.choice((0, 1, 1, 2))
         await fleet.publish(build_bundle(generation, rate=rng.randrange(1, 9)))
         host = rng.choice(fleet.members)['host']
-        await fleet.send_command('stop', host)
+        await fleet.order('stop', host)
         await asyncio.sleep(rng.uniform(0.2, 1.5))
-        await fleet.send_command('start', host)
+        await fleet.order('start', host)
         if fault != 'rebuilt':
             await fleet.base.fault(platform, fault, on=False)
         await asyncio.sleep(rng.uniform(0.1, 1))
