--- a/packages/daemon/src/crowrudder_daemon/chunks/_sources.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_sources.py
@@ -51,12 +51,14 @@
     def __init__(self, peers: PeerClient) -> None:
         self._peers = peers
 
-    async def stock(self, address: str, asked: VersionRef) -> InventoryReply:
+    async def stock(
+        self, address: str, version_ref: VersionRef
+    ) -> InventoryReply:
         """Request an agent's inventory of a version."""
         request = InventoryRequest(
-            host=asked.host,
-            version=asked.version,
-            manifest=asked.manifest,
+            host=version_ref.host,
+            version=version_ref.version,
+            manifest=version_ref.manifest,
         )
         return await self._peers.call(
             address,
@@ -65,10 +67,10 @@
             timeout_s=STOCK_TIMEOUT_S,
         )
 
-    async def manifest(self, address: str, asked: VersionRef) -> bytes:
+    async def manifest(self, address: str, version_ref: VersionRef) -> bytes:
         """Request a manifest; empty if the agent does not have it."""
         request = ManifestRequest(
-            version=asked.version, manifest=asked.manifest
+            version=version_ref.version, manifest=version_ref.manifest
         )
         reply = await self._peers.call(address, MANIFEST, request)
         return reply.payload
@@ -86,17 +88,17 @@
         """
         stream = self._peers.open(address, CHUNK, request)
         pieces: list[bytes] = []
-        stock = None
+        inventory = None
         refused = False
         try:
             async for piece in stream:
                 await on_piece(len(piece.payload))
                 pieces.append(piece.payload)
-                stock = piece.stock or stock
+                inventory = piece.stock or inventory
                 refused = refused or piece.busy or piece.absent
         finally:
             stream.cancel()
-        return PeerAnswer(b''.join(pieces), stock, refused)
+        return PeerAnswer(b''.join(pieces), inventory, refused)
 
 
 class ChunkOrigin(Protocol):
--- a/packages/daemon/src/crowrudder_daemon/chunks/_stock.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_stock.py
@@ -50,7 +50,7 @@
     """Apply another agent's inventory to a transfer of the same version."""
     if reply.version != transfer.manifest.version:
         return
-    stock = PeerInventory(
+    inventory = PeerInventory(
         host=reply.host,
         chunks=unpack(reply.chunks, transfer.count),
         passes=unpack(reply.passes, transfer.count),
@@ -58,7 +58,7 @@
         slots=reply.slots,
         wants=reply.wants,
     )
-    transfer.on_inventory(stock, now=now)
+    transfer.on_inventory(inventory, now=now)
 
 
 def build_inventory(
--- a/packages/daemon/src/crowrudder_daemon/chunks/_uploads.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_uploads.py
@@ -44,13 +44,13 @@
     def __init__(
         self,
         versions: VersionStore,
-        note: EngineStatus,
+        engine_status: EngineStatus,
         slots: UploadSlots,
         uplink: LinkShare,
         on_sent: Callable[[int], None],
     ) -> None:
         self._versions = versions
-        self._note = note
+        self._engine_status = engine_status
         self._slots = slots
         self._uplink = uplink
         self._on_sent = on_sent
@@ -88,15 +88,15 @@
             now = asyncio.get_running_loop().time()
             apply_inventory(transfer, request.stock, now=now)
         payload = transfer.chunk(request.index) if transfer else None
-        stock = self.stock(request.version, transfer)
+        inventory = self.stock(request.version, transfer)
         if payload is None:
-            yield ChunkPiece(absent=True, stock=stock)
+            yield ChunkPiece(absent=True, stock=inventory)
             return
         if not self._slots.take():
-            yield ChunkPiece(busy=True, stock=stock)
+            yield ChunkPiece(busy=True, stock=inventory)
             return
         try:
-            async for piece in self._paced(payload, stock):
+            async for piece in self._paced(payload, inventory):
                 yield piece
         finally:
             self._slots.release()
@@ -104,14 +104,14 @@
     async def _paced(
         self,
         payload: bytes,
-        stock: InventoryReply,
+        inventory: InventoryReply,
     ) -> AsyncIterator[ChunkPiece]:
         """Yield a chunk in pieces, at the rate that the uplink allows.
 
         The link is reserved for the complete chunk at once, so a slow reader
         does not delay the chunks behind it.
         """
-        yield ChunkPiece(stock=stock)
+        yield ChunkPiece(stock=inventory)
         loop = asyncio.get_running_loop()
         rate = self._uplink.weights_rate
         wait_s = self._uplink.reserve(len(payload), now=loop.time())
@@ -131,7 +131,7 @@
             version,
             transfer,
             slots=self._slots,
-            note=self._note,
+            note=self._engine_status,
         )
 
 
--- a/packages/daemon/src/crowrudder_daemon/fleet/_catalog_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_catalog_task.py
@@ -229,11 +229,11 @@
         self.post(AgesReceived(reply.ages, address, asked_at))
 
     async def _pull(self, address: str) -> None:
-        ask = ChangesRequest(self.catalog.revision, takes_deflated=True)
+        request = ChangesRequest(self.catalog.revision, takes_deflated=True)
         asked_at = clock_s()
         try:
             changes = await self._client.call(
-                address, CHANGES, ask, timeout_s=self._pull_timeout.seconds
+                address, CHANGES, request, timeout_s=self._pull_timeout.seconds
             )
         except PeerLostError as exc:
             self._pull_timeout.on_failure(clock_s() - asked_at)
--- a/packages/daemon/src/crowrudder_daemon/fleet/_peers_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_peers_task.py
@@ -72,13 +72,13 @@
     def loads_received(self, batch: LoadBatch) -> None:
         """Receive load reports of agents that an entry forwards."""
 
-    def chunks_received(self, ip: str, news: ChunkInventory) -> None:
+    def chunks_received(self, ip: str, inventory: ChunkInventory) -> None:
         """Receive an agent's inventory of chunks."""
 
-    def suspects_received(self, ip: str, news: SuspicionUpdate) -> None:
+    def suspects_received(self, ip: str, update: SuspicionUpdate) -> None:
         """Receive an entry's reports on requests under which upstreams ended."""
 
-    def limits_received(self, ip: str, news: LimitUpdate) -> None:
+    def limits_received(self, ip: str, update: LimitUpdate) -> None:
         """Receive an entry's reports on limits that upstreams stated."""
 
 
--- a/packages/daemon/src/crowrudder_daemon/fleet/_records_service.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_records_service.py
@@ -25,19 +25,21 @@
 
     def serve(self, server: PeerServer) -> None:
         """Register the handlers of requests for changes, and for ages alone."""
-        server.add(CHANGES, self._on_changes_ask)
-        server.add(AGES, self._on_ages_ask)
+        server.add(CHANGES, self._on_changes_request)
+        server.add(AGES, self._on_ages_request)
 
-    async def _on_changes_ask(
-        self, ask: ChangesRequest, _context: object
+    async def _on_changes_request(
+        self, request: ChangesRequest, _context: object
     ) -> Changes:
         now = clock_s()
         changes = self._catalog.changes_after(
-            ask.after,
+            request.after,
             now=now,
             confirmed_s=self._reading.confirmed_s(now),
         )
-        return changes if ask.takes_deflated else inflate_changes(changes)
+        return changes if request.takes_deflated else inflate_changes(changes)
 
-    async def _on_ages_ask(self, _ask: AgesRequest, _context: object) -> Ages:
+    async def _on_ages_request(
+        self, _request: AgesRequest, _context: object
+    ) -> Ages:
         return Ages(self._catalog.ages(now=clock_s()))
--- a/packages/daemon/src/crowrudder_daemon/fleet/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_role.py
@@ -105,11 +105,11 @@
     def loads_received(self, batch: LoadBatch) -> None:
         """Ignore load reports on engines."""
 
-    def chunks_received(self, ip: str, news: ChunkInventory) -> None:
+    def chunks_received(self, ip: str, inventory: ChunkInventory) -> None:
         """Ignore inventories of chunks."""
 
-    def suspects_received(self, ip: str, news: SuspicionUpdate) -> None:
+    def suspects_received(self, ip: str, update: SuspicionUpdate) -> None:
         """Ignore reports on suspected requests."""
 
-    def limits_received(self, ip: str, news: LimitUpdate) -> None:
+    def limits_received(self, ip: str, update: LimitUpdate) -> None:
         """Ignore reports on upstreams' limits."""
--- a/packages/daemon/src/crowrudder_daemon/fleet/_settings_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_settings_watch.py
@@ -49,9 +49,9 @@
 class SettingsWatch:
     """Owns the settings that were read last, and reports changes.
 
-    Without it, a process that has lost all its peers would contact seeds that
-    have been replaced forever. Invalid settings change nothing: the previous
-    ones stay in force, and the reason is logged.
+    Without it, a process that has lost all its peers would contact replaced
+    seeds forever. Invalid settings change nothing: the previous ones stay in
+    force, and the reason is logged.
     """
 
     def __init__(
--- a/packages/daemon/src/crowrudder_daemon/fleet/_watch_times.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_watch_times.py
@@ -26,12 +26,12 @@
     """
 
     def __init__(self, interval_s: float) -> None:
-        self._punctuality = TickMonitor(interval_s)
+        self._tick_monitor = TickMonitor(interval_s)
         self._ages = WatchAges()
 
     def tick(self) -> None:
         """Record that the event loop runs its timers."""
-        self._punctuality.on_tick(clock_s())
+        self._tick_monitor.on_tick(clock_s())
 
     def on_idle(self) -> None:
         """Record that this process doesn't watch the platform."""
@@ -46,7 +46,7 @@
     ) -> float:
         """Record a watch's answer; return the earliest time of its changes."""
         now = clock_s()
-        is_punctual = self._punctuality.is_on_time(now)
+        is_punctual = self._tick_monitor.is_on_time(now)
         since = self._ages.published_since(
             asked_at,
             now,
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_digests.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_digests.py
@@ -118,9 +118,9 @@
         self, address: str, artifact: Artifact
     ) -> NamedManifest | None:
         """Read from an agent; None if it has no manifest of that digest."""
-        asked = VersionRef(self._host, artifact.name, artifact.manifest)
+        version_ref = VersionRef(self._host, artifact.name, artifact.manifest)
         try:
-            payload = await self._peers.manifest(address, asked)
+            payload = await self._peers.manifest(address, version_ref)
             decode_manifest(payload, declared=artifact.manifest, peer=address)
         except (CrowrudderError, ManifestError):
             return None
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_end_guard.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_end_guard.py
@@ -216,11 +216,11 @@
 
     def _warn_no_replacement(self) -> None:
         """Log once per version that it ended and nothing can replace it."""
-        whole = self._watch.whole
-        if self._warned_version == whole:
+        loaded_version = self._watch.whole
+        if self._warned_version == loaded_version:
             return
-        self._warned_version = whole
+        self._warned_version = loaded_version
         self._runtime.log.warning(
             'nothing at hand of a newer version',
-            extra={'step': 'end', 'weights': whole},
+            extra={'step': 'end', 'weights': loaded_version},
         )
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_engine_watch.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_engine_watch.py
@@ -214,22 +214,22 @@
         reading = self.reading
         if reading is None:
             return EngineLoad(address=self._node.upstream, reachable=False)
-        whole = self.whole
-        part = NO_LAYERS if whole else reading.layers
+        loaded_version = self.whole
+        partial_layers = NO_LAYERS if loaded_version else reading.layers
         is_loading = reading.is_busy and not self._is_extending
         return EngineLoad(
             address=self._node.upstream,
             reachable=True,
-            weights=whole,
+            weights=loaded_version,
             is_changing=self._is_changing or is_loading,
             running=reading.running,
             queued=reading.queued,
             memory_used=reading.memory_used,
             pace=reading.pace,
             started_ms=reading.started_ms,
-            partial_version=reading.weights if part else 0,
-            first_layer=part.first,
-            end_layer=part.end,
+            partial_version=reading.weights if partial_layers else 0,
+            first_layer=partial_layers.first,
+            end_layer=partial_layers.end,
         )
 
 
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_keeper.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_keeper.py
@@ -191,7 +191,7 @@
     ) -> bool:
         """Continue to fetch the previous version until a manifest is read.
 
-        Returns whether the previous version was complete first.
+        Return whether the previous version was complete first.
 
         If the previous version were dropped as soon as a newer one is
         published while the origin is down, no host could read the newer
@@ -247,8 +247,8 @@
     ) -> None:
         """Start to fetch the previous version when due; load it when complete."""
         newest.check_progress()
-        if self._is_part_due(newest):
-            await self._load_part(newest)
+        if self._is_layer_range_due(newest):
+            await self._load_layer_range(newest)
         older = next((each for each in jobs if each is not newest), None)
         if older is None and newest.is_stalled:
             older = await self._open_previous(newest)
@@ -258,7 +258,7 @@
             await self._load(older.goal, older.named, older.transfer)
             jobs.pop(older).cancel()
 
-    def _is_part_due(self, newest: ActiveTransfer) -> bool:
+    def _is_layer_range_due(self, newest: ActiveTransfer) -> bool:
         """Return whether the engine should load a layer range before the rest.
 
         Only if no capacity is lost: no request may start on what the engine
@@ -296,7 +296,7 @@
         )
         return serving < MAX_SERVING_SHARE * len(hosts)
 
-    async def _load_part(self, newest: ActiveTransfer) -> None:
+    async def _load_layer_range(self, newest: ActiveTransfer) -> None:
         """Load the layer range that is held while the rest is fetched."""
         part = self._library.part(newest.named.artifact.name, newest.transfer)
         load = Load(newest.goal.model, newest.named.version, part.chunks)
@@ -337,7 +337,7 @@
 
         Parameters
         ----------
-        only_if_out
+        only_if_started
             Whether to return it only if some host has started to fetch it. A
             host that can read it from the origin can read the newest one
             there as well.
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
@@ -134,7 +134,7 @@
         self.versions = VersionStore(
             runtime, section, host=node.ip, pace=TRANSFER_PACING
         )
-        self._engine_note = EngineStatus()
+        self._engine_status = EngineStatus()
         self._uplink = _link(section)
         # Inference requests are short, and their answers use the uplink.
         self._downlink = _link(section, live_share=1)
@@ -147,7 +147,7 @@
         )
         self._service = ChunkService(
             self.versions,
-            self._engine_note,
+            self._engine_status,
             UploadSlots(section.upload_slots),
             self._uplink,
             self._watch.sent,
@@ -157,12 +157,12 @@
         """Register the calls by which other agents read chunks."""
         self._service.serve(server)
 
-    def chunks_received(self, ip: str, news: ChunkInventory) -> None:
+    def chunks_received(self, ip: str, inventory: ChunkInventory) -> None:
         """Apply another agent's chunk inventory."""
-        self._received.setdefault(news.version, {})[ip] = news
-        transfer = self.versions.find(news.version, news.manifest)
+        self._received.setdefault(inventory.version, {})[ip] = inventory
+        transfer = self.versions.find(inventory.version, inventory.manifest)
         if transfer is not None:
-            _apply_inventory(transfer, ip, news)
+            _apply_inventory(transfer, ip, inventory)
 
     def on_change(self) -> None:
         """Apply a change of the published records."""
@@ -213,8 +213,8 @@
     def open(self, *wanted: NamedManifest) -> list[Transfer]:
         """Start or continue to fetch versions; drop all other transfers."""
         names = frozenset(named.artifact.name for named in wanted)
-        if names != self._engine_note.wanted:
-            self._engine_note.wanted = names
+        if names != self._engine_status.wanted:
+            self._engine_status.wanted = names
             self._changed.set()
         self.versions.drop_others(names)
         return [self._open(named) for named in wanted]
@@ -258,17 +258,17 @@
         last_sent: dict[str, ChunkInventory] = {}
         while True:
             await self._wait_for_change()
-            for news in self._inventories():
-                if last_sent.get(news.version) != news:
-                    last_sent[news.version] = news
-                    self._peers.send(news, self._neighbours())
+            for inventory in self._inventories():
+                if last_sent.get(inventory.version) != inventory:
+                    last_sent[inventory.version] = inventory
+                    self._peers.send(inventory, self._neighbours())
 
     def places(self) -> Mapping[str, Place]:
         """Return the places of the service's hosts by IP address."""
         return self._hosts.places
 
     def part(self, version: str, transfer: Transfer) -> LayerPart:
-        """Return the part of a version that this host fetches first."""
+        """Return the layers of a version that this host fetches first."""
         figures = figures_of(self._view, self._node)
         layers = figures.layers if figures else 0
         if not layers:
@@ -325,9 +325,9 @@
         self._changed.set()
         transfer.on_hosts(self._hosts.places)
         transfer.first = self.part(version, transfer).chunks
-        for ip, news in self._received.get(version, {}).items():
-            if news.manifest == transfer.manifest_digest:
-                _apply_inventory(transfer, ip, news)
+        for ip, inventory in self._received.get(version, {}).items():
+            if inventory.manifest == transfer.manifest_digest:
+                _apply_inventory(transfer, ip, inventory)
 
     async def _wait_for_change(self) -> None:
         """Wait for the next interval, or for a newly opened version."""
@@ -347,15 +347,15 @@
     def _inventories(self) -> list[ChunkInventory]:
         found = []
         for name, transfer in self.versions.transfers.items():
-            stock = self._service.stock(name, transfer)
+            inventory = self._service.stock(name, transfer)
             found.append(
                 ChunkInventory(
                     version=name,
                     manifest=transfer.manifest_digest,
-                    chunks=stock.chunks,
-                    passes=stock.passes,
-                    wanted=stock.wants,
-                    slots=stock.slots,
+                    chunks=inventory.chunks,
+                    passes=inventory.passes,
+                    wanted=inventory.wants,
+                    slots=inventory.slots,
                 ),
             )
         return found
@@ -373,18 +373,20 @@
         return f'{host}:{self._node.rpc_port}'
 
 
-def _apply_inventory(transfer: Transfer, ip: str, news: ChunkInventory) -> None:
+def _apply_inventory(
+    transfer: Transfer, ip: str, inventory: ChunkInventory
+) -> None:
     apply_inventory(
         transfer,
         InventoryReply(
             host=ip,
-            version=news.version,
-            chunks=news.chunks,
+            version=inventory.version,
+            chunks=inventory.chunks,
             loaded='',
-            busy=news.busy,
-            slots=news.slots,
-            passes=news.passes,
-            wants=news.wanted,
+            busy=inventory.busy,
+            slots=inventory.slots,
+            passes=inventory.passes,
+            wants=inventory.wanted,
         ),
         now=asyncio.get_running_loop().time(),
     )
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_load_schedule.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_load_schedule.py
@@ -57,8 +57,8 @@
     Hosts that load first read more: if all held a version at the same time,
     late in its window, half of them would have to load within two seconds. By
     the model of `measure/_weights_fleet.py`, 31 hosts in four
-    regions: the first third holds it after 5.25 s in place of 5.70 s, the
-    others after 5.70 and 5.85 s in place of 5.65 s (bound of the links 5.0).
+    regions: the first third holds it after 5.25 s instead of 5.70 s, the
+    others after 5.70 and 5.85 s instead of 5.65 s (bound of the links 5.0).
 
     >>> reads_at_once('v', 'a', ['a'])
     4
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_loader.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_loader.py
@@ -201,7 +201,7 @@
     async def _change_to(
         self, load: Load, transfer: Transfer, layers: LayerRange
     ) -> None:
-        """Load layers in place of another version or another layer range."""
+        """Load layers instead of another version or another layer range."""
         self._watch.set_changing(is_changing=True)
         try:
             await self._leave_pipelines()
@@ -237,7 +237,7 @@
         return within is None or within.covers(reading.layers)
 
     async def _leave_pipelines(self) -> None:
-        """Give entries time to remove the engine from their pipelines.
+        """Wait for entries to remove the engine from their pipelines.
 
         Otherwise an entry may rely on a report that the engine holds some
         layers of one version, while it holds the same layers of another when
@@ -312,7 +312,8 @@
         await asyncio.sleep(ANNOUNCE_DELAY_S)
         until = clock_s() + DRAIN_S
         if self._watch.whole:
-            # Nothing is sent to a part once a newer version is named.
+            # An engine with a partial version gets no requests once a newer
+            # version is announced, so only a complete one needs this limit.
             ends_at = self._view.releases.ends_at(model, self._watch.whole)
             until = min(until, ends_at - CLOSE_LEAD_S)
         while clock_s() < until:
@@ -345,14 +346,14 @@
     async def _send_order(
         self, load: Load, *, may_cut_off: bool, layers: LayerRange | None
     ) -> None:
-        taken = await self._engine.load(
+        is_accepted = await self._engine.load(
             load.model,
             load.version,
             may_cut_off=may_cut_off,
             layers=layers,
         )
-        self._orders.add(outcome='taken' if taken else 'refused')
-        if not taken:
+        self._orders.add(outcome='taken' if is_accepted else 'refused')
+        if not is_accepted:
             raise UpstreamError('the engine refused the order', step='order')
 
     async def _until_loaded(
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_manifest_cache.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_manifest_cache.py
@@ -120,12 +120,12 @@
         if not version:
             return None
         for _ in range(min(rank, MAX_RANKS)):
-            for ip, news in list(inventories().items()):
-                if news.manifest in self._distrusted:
+            for ip, inventory in list(inventories().items()):
+                if inventory.manifest in self._distrusted:
                     continue
                 named = await self._digests.from_peer(
                     self._address_of(ip),
-                    Artifact(news.version, news.manifest),
+                    Artifact(inventory.version, inventory.manifest),
                 )
                 if named is not None:
                     return named
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_role.py
@@ -116,7 +116,7 @@
             **self.catalog.status(),
             **self.keeper.status(),
             'weights': self.watch.whole,
-            'entries': [word.ip for word in self.peers.entries()],
+            'entries': [entry.ip for entry in self.peers.entries()],
         }
 
     def readiness(self) -> list[str]:
@@ -132,9 +132,9 @@
         """Raise: agents do not route requests."""
         raise NotImplementedError
 
-    def chunks_received(self, ip: str, news: ChunkInventory) -> None:
+    def chunks_received(self, ip: str, inventory: ChunkInventory) -> None:
         """Forward another agent's chunk inventory to the library."""
-        self.library.chunks_received(ip, news)
+        self.library.chunks_received(ip, inventory)
 
     def on_change(self) -> None:
         """Apply a change of the published records."""
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt.py
@@ -108,7 +108,7 @@
     """Whether the upstream's address refused the connection."""
 
     limit_per_s: float | None = field(default=None, init=False)
-    """The rate limit that the upstream named in its answer."""
+    """The rate limit that the upstream stated in its answer."""
 
     begin_by: float = field(init=False)
     _ticket: int = field(default=0, init=False)
@@ -135,8 +135,8 @@
         try:
             return await self._run_on(conn)
         except BaseException:
-            # The caller left or the time is over: closing the connection
-            # tells the upstream to stop.
+            # The caller has left or its deadline has passed: closing the
+            # connection makes the upstream stop.
             conn.close()
             raise
 
@@ -231,21 +231,21 @@
         )
 
     async def _read(self, conn: HttpConnection) -> AttemptOutcome:
-        head, mark = await self._matching_head(conn)
+        head, metadata = await self._matching_head(conn)
         self.time_to_head_s = clock_s() - self.sent_at
-        self.limit_per_s = mark.limit_per_s
+        self.limit_per_s = metadata.limit_per_s
         self._upstreams.limits.on_answer(
-            self.choice.forecast.upstream.id, mark.limit_per_s
+            self.choice.forecast.upstream.id, metadata.limit_per_s
         )
-        if mark.not_run:
-            return await self._not_run(conn, head, mark)
+        if metadata.not_run:
+            return await self._not_run(conn, head, metadata)
         if self.is_stream and head.status < FIRST_NON_SUCCESS_STATUS:
-            if not mark.is_authentic:
+            if not metadata.is_authentic:
                 raise BrokenAnswerError(
                     'nobody vouches for it', step='answer', peer=conn.peer
                 )
             return await self._stream(conn, head)
-        return await self._buffer_answer(conn, head, mark)
+        return await self._buffer_answer(conn, head, metadata)
 
     async def _matching_head(
         self, conn: HttpConnection
@@ -259,10 +259,10 @@
         async with self._waiting(left_s):
             for _ in range(MAX_STRAY_ANSWERS):
                 head = await conn.head()
-                mark = self._dialect.response_metadata(head)
+                metadata = self._dialect.response_metadata(head)
                 own = self.call.request_id
-                if not own or mark.request_id in {'', own}:
-                    return head, mark
+                if not own or metadata.request_id in {'', own}:
+                    return head, metadata
                 await conn.drain()
                 conn.skip()
         raise BrokenAnswerError(
@@ -273,19 +273,19 @@
         self,
         conn: HttpConnection,
         head: WireHead,
-        mark: ResponseMetadata,
+        metadata: ResponseMetadata,
     ) -> NotRun:
         async with asyncio.timeout(self.timeouts.pause_s):
             await conn.drain()
         self._upstreams.pool.keep(conn, head)
         self.choice.forecast.on_failure(now=clock_s(), avoid=False)
-        return NotRun(f'answered {head.status}', mark.retry_after_s)
+        return NotRun(f'answered {head.status}', metadata.retry_after_s)
 
     async def _buffer_answer(
         self,
         conn: HttpConnection,
         head: WireHead,
-        mark: ResponseMetadata,
+        metadata: ResponseMetadata,
     ) -> AttemptOutcome:
         """Buffer an answer until it is complete."""
         parts: list[bytes] = []
@@ -297,7 +297,7 @@
                 raise BrokenAnswerError(
                     'longer than allowed', step='answer', peer=conn.peer
                 )
-        if not mark.is_authentic or head.status in NOT_EXECUTED_STATUSES:
+        if not metadata.is_authentic or head.status in NOT_EXECUTED_STATUSES:
             raise BrokenAnswerError(
                 f'answered {head.status}, which is no answer to pass on',
                 step='answer',
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_context.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_context.py
@@ -62,7 +62,7 @@
 
     def record_end(
         self,
-        _drive: object,
+        _execution: object,
         *,
         outcome: str,
         extra: dict[str, Any],
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_drive.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_drive.py
@@ -204,10 +204,10 @@
         return self.dispatch.after(
             ending,
             now=clock_s(),
-            spend_retry=self._take_retry,
+            spend_retry=self._spend_retry,
         )
 
-    def _take_retry(self) -> bool:
+    def _spend_retry(self) -> bool:
         if not self.context.quarantine.may_retry(self.digest):
             return False
         return self.context.upstreams.spend_retry(self.admitted.service)
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
@@ -1,4 +1,4 @@
-"""Enforce the rate limits that upstreams name, jointly with all entries."""
+"""Enforce the rate limits that upstreams state, jointly with all entries."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
         )
 
     def on_answer(self, upstream_id: str, per_s: float | None) -> None:
-        """Apply the limit that an upstream's answer names, if any."""
+        """Apply the limit that an upstream's answer states, if any."""
         report = self._limits.on_answer(upstream_id, per_s, now=clock_s())
         if report is not None:
             self._log(report, self._peers.roster.own.ip)
             self._peers.send_to_partners(LimitUpdate((report,)))
 
-    def on_update(self, ip: str, news: LimitUpdate) -> None:
+    def on_update(self, ip: str, update: LimitUpdate) -> None:
         """Apply the reports of another entry and forward the new ones."""
         if not self._peers.roster.knows(ip, now=clock_s()):
             self._runtime.log.debug(
@@ -64,7 +64,7 @@
                 extra={'step': 'limit', 'peer': ip},
             )
             return
-        for report in news.words[:MAX_REPORTS_PER_DATAGRAM]:
+        for report in update.words[:MAX_REPORTS_PER_DATAGRAM]:
             if self._limits.on_report(report, now=clock_s()) is not None:
                 self._log(report, ip)
                 self._peers.send_to_partners(LimitUpdate((report,)))
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
@@ -138,7 +138,7 @@
             )
             self._apply(effects)
 
-    def on_update(self, ip: str, news: SuspicionUpdate) -> None:
+    def on_update(self, ip: str, update: SuspicionUpdate) -> None:
         """Apply the reports of another entry."""
         if not self._peers.roster.knows(ip, now=clock_s()):
             self._runtime.log.debug(
@@ -146,7 +146,7 @@
                 extra={'step': 'quarantine', 'peer': ip},
             )
             return
-        self._apply(self._core.on_update(news, now=clock_s()))
+        self._apply(self._core.on_update(update, now=clock_s()))
 
     async def send_reminders(self) -> None:
         """Repeat reports for entries that have started since or missed them."""
@@ -166,9 +166,9 @@
                     ips = owners(report.digest, self._entry_ips())
                     self._send([report], self._without_own(ips))
                 case Quarantined(digest=digest, lives=incarnation_ids):
-                    self._on_convicted(digest, incarnation_ids)
+                    self._on_quarantined(digest, incarnation_ids)
 
-    def _on_convicted(
+    def _on_quarantined(
         self, digest: int, incarnation_ids: tuple[str, ...]
     ) -> None:
         self._quarantined.add()
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_requests_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_requests_task.py
@@ -96,7 +96,7 @@
             await self._deny(side, call, admitted)
             return
         self._context.upstreams.on_request(admitted.service)
-        drive = RequestExecution(
+        execution = RequestExecution(
             call=call,
             body=request.body,
             admitted=admitted,
@@ -104,7 +104,7 @@
             side=side,
             context=self._context,
         )
-        await drive.run()
+        await execution.run()
 
     def _admit(
         self,
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
@@ -37,7 +37,7 @@
 BODY_TIMEOUT_S = 30.0
 DRAIN_LISTEN_S = 1.5
 """How long a leaving entry still accepts connections. Callers cache the list of
-entries for a while, and a closed port costs them a try."""
+entries for a while, and a closed port costs them a failed connection."""
 
 LATE_REQUESTS_S = 0.3
 """How long a leaving entry still answers requests that arrive as it closes its
@@ -173,13 +173,13 @@
         if batch.pass_on:
             self._relay.forward(batch)
 
-    def suspects_received(self, ip: str, news: SuspicionUpdate) -> None:
+    def suspects_received(self, ip: str, update: SuspicionUpdate) -> None:
         """Apply an entry's reports on requests under which upstreams ended."""
-        self.quarantine.on_update(ip, news)
+        self.quarantine.on_update(ip, update)
 
-    def limits_received(self, ip: str, news: LimitUpdate) -> None:
-        """Apply an entry's reports on limits that upstreams named."""
-        self.upstreams.limits.on_update(ip, news)
+    def limits_received(self, ip: str, update: LimitUpdate) -> None:
+        """Apply an entry's reports on limits that upstreams stated."""
+        self.upstreams.limits.on_update(ip, update)
 
     def on_change(self) -> None:
         """Apply a change of the published records."""
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstreams.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstreams.py
@@ -75,14 +75,14 @@
 
 @frozen
 class _Pool:
-    """The outlooks of a service, in the own region and in other regions."""
+    """The forecasts of a service, in the own region and in other regions."""
 
     near: list[UpstreamForecast] = field(factory=list)
     far: list[UpstreamForecast] = field(factory=list)
 
 
 class Upstreams:
-    """Outlooks by upstream, kept in sync with the published records."""
+    """Forecasts by upstream, kept in sync with the published records."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         self._view = view
         self._peers = peers
         self._random = random.Random(runtime.incarnation)
-        self._outlooks: dict[str, UpstreamForecast] = {}
+        self._forecasts: dict[str, UpstreamForecast] = {}
         self._by_address: dict[str, list[UpstreamForecast]] = {}
         self._pools: dict[str, _Pool] = {}
         self._config: FleetConfig | None = None
@@ -129,17 +129,17 @@
         self._pending.pop(ticket, None)
 
     def refresh(self) -> None:
-        """Update the outlooks after a change of the published records."""
+        """Update the forecasts after a change of the published records."""
         listed = {upstream.id: upstream for upstream in self._view.listed()}
-        for gone in self._outlooks.keys() - listed.keys():
-            forecast = self._outlooks.pop(gone)
+        for gone in self._forecasts.keys() - listed.keys():
+            forecast = self._forecasts.pop(gone)
             self._quarantine.on_incarnation_ended(gone)
             self.limits.on_gone(gone)
             self._drop_connections(forecast.upstream, listed.values())
         is_same = self._config is self._view.config
         self._config = self._view.config
         for upstream in listed.values():
-            known = self._outlooks.get(upstream.id)
+            known = self._forecasts.get(upstream.id)
             if not is_same or known is None or known.upstream is not upstream:
                 self._refresh_one(upstream)
         self._index()
@@ -174,7 +174,7 @@
         others = len(self._peers.entries()) - 1
         return choose_eligible(
             self._pools_for(required, now),
-            partial(self._fitting_candidate, required, now, others),
+            partial(self._eligible_candidate, required, now, others),
             prompt=required.prompt,
             now=now,
             random=self._random,
@@ -187,21 +187,21 @@
     def spend_retry(self, service: str) -> bool:
         """Return whether a retry was taken from the budget of all entries."""
         now = clock_s()
-        part = self._peers.roster.budget_share(now=now)
-        return self._budget.take(service, entry_share=part, now=now)
+        entry_share = self._peers.roster.budget_share(now=now)
+        return self._budget.take(service, entry_share=entry_share, now=now)
 
     def has_retry(self, service: str) -> bool:
         """Return whether the shared budget has a retry left."""
         now = clock_s()
-        part = self._peers.roster.budget_share(now=now)
-        return self._budget.has(service, entry_share=part, now=now)
+        entry_share = self._peers.roster.budget_share(now=now)
+        return self._budget.has(service, entry_share=entry_share, now=now)
 
     def estimate_retry_after_s(self, service: str) -> float:
         """Return the estimated seconds until a service is available again.
 
         If the estimate is too short, callers retry during the same outage and
-        use up their tries: their requests are refused twice and lost, although
-        the service is back before their deadline.
+        use up their retries: their requests are refused twice and lost,
+        although the service is back before their deadline.
         """
         now = clock_s()
         pool = self._pools.get(service, _Pool())
@@ -214,7 +214,7 @@
         return max(min(outage_s, limit_wait_s), MIN_RETRY_AFTER_S)
 
     def _region_of(self, upstream_id: str) -> str:
-        forecast = self._outlooks.get(upstream_id)
+        forecast = self._forecasts.get(upstream_id)
         place = self._node.place
         if forecast is None:
             return place.region
@@ -258,14 +258,14 @@
                 'avoided': forecast.is_avoided(now),
                 'slowness': round(forecast.slowness, 2),
             }
-            for forecast in self._outlooks.values()
+            for forecast in self._forecasts.values()
         ]
 
     def _index(self) -> None:
-        """Index the outlooks by address and by service."""
+        """Index the forecasts by address and by service."""
         self._by_address = {}
         self._pools = {}
-        for forecast in self._outlooks.values():
+        for forecast in self._forecasts.values():
             upstream = forecast.upstream
             self._by_address.setdefault(upstream.address, []).append(forecast)
             pool = self._pools.setdefault(upstream.service, _Pool())
@@ -300,7 +300,7 @@
             (far, SAMPLE_SIZE),
         ]
 
-    def _fitting_candidate(
+    def _eligible_candidate(
         self,
         required: UpstreamRequirements,
         now: float,
@@ -327,9 +327,9 @@
     ) -> list[UpstreamForecast]:
         """Return the upstreams of the service that the request may use."""
         return [
-            self._outlooks[upstream.id]
+            self._forecasts[upstream.id]
             for upstream in self._view.upstreams(required.service, now=now)
-            if upstream.id in self._outlooks
+            if upstream.id in self._forecasts
             and upstream.id not in required.avoid
         ]
 
@@ -352,7 +352,7 @@
     def _pipeline_candidates(
         self, required: UpstreamRequirements, now: float
     ) -> list[Candidate]:
-        """Return pipelines of engines that hold parts of the newest version.
+        """Return pipelines of engines that hold layers of the newest version.
 
         They serve while no host holds a complete version: after a power cut, or
         if the previous version ended while the newest is still transferred.
@@ -382,7 +382,7 @@
         """Return the newest announced version and its partial holders.
 
         Holders of older versions are left out: an engine may change to a newer
-        version while a report on its part of an older one is still valid.
+        version while a report on its layers of an older one is still valid.
         """
         partial_holders = [
             (forecast, part)
@@ -431,10 +431,10 @@
         )
 
     def _refresh_one(self, upstream: Upstream) -> None:
-        forecast = self._outlooks.get(upstream.id)
+        forecast = self._forecasts.get(upstream.id)
         if forecast is None:
             forecast = UpstreamForecast(upstream)
-            self._outlooks[upstream.id] = forecast
+            self._forecasts[upstream.id] = forecast
         if forecast.on_record(upstream, now=clock_s()):
             # Idle connections lead to the previous incarnation.
             self.pool.drop(upstream.address)
