--- a/packages/daemon/src/crowrudder_daemon/agent/_orders.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_orders.py
@@ -56,7 +56,7 @@
         Raises
         ------
         OutdatedError
-            when the engine has orders of a newer configuration.
+            If the engine has orders of a newer configuration.
         """
         state = await self._engine.state()
         decision = self._orders.on_read(_engine_read_of(state), target)
@@ -69,9 +69,9 @@
         Raises
         ------
         OutdatedError
-            when the engine has orders of a newer configuration.
+            If the engine has orders of a newer configuration.
         UpstreamError
-            when the engine refused, or reports another version afterwards.
+            If the engine refused, or reports another version afterwards.
         """
         state = await self._engine.state()
         decision = self._orders.on_read(_engine_read_of(state), target)
@@ -98,9 +98,9 @@
         Raises
         ------
         OutdatedError
-            when the engine has orders of a newer configuration.
+            If the engine has orders of a newer configuration.
         UpstreamError
-            when the engine refused, or doesn't report target and adapter.
+            If the engine refused, or doesn't report target and adapter.
         """
         state = await self._engine.state()
         decision = self._orders.on_read(_engine_read_of(state), target)
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_loading.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_loading.py
@@ -60,18 +60,18 @@
         transfer: Transfer,
         snapshot: Callable[[], Snapshot],
     ) -> EngineState:
-        """Verify and stage the weights, wait for the turn, and load them.
+        """Verify and stage the weights, wait for their turn, and load them.
 
         Raises
         ------
         InvariantError
-            When the weights aren't complete.
+            If the weights aren't complete.
         """
         await asyncio.to_thread(transfer.assert_complete)
         self._set_blocking_reason('hands the weights to the engine')
         await self._stage(transfer, goal.version.name)
         self._set_blocking_reason('waits for its turn in the rolling change')
-        await self._await_turn(goal, transfer, snapshot)
+        await self._wait_for_turn(goal, transfer, snapshot)
         self._engine_status.changing = True
         try:
             return await self._pause_and_order(goal, transfer)
@@ -105,7 +105,7 @@
             if payload is not None:
                 await self._engine.put_chunk(version, index, payload)
 
-    async def _await_turn(
+    async def _wait_for_turn(
         self,
         goal: Goal,
         transfer: Transfer,
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_origin_source.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_origin_source.py
@@ -49,9 +49,9 @@
         Raises
         ------
         NoSourceError
-            When the source can't have sent any byte of it.
+            If the source can't have sent any byte of it.
         UpstreamError
-            When the source failed during the transfer.
+            If the source failed during the transfer.
         """
         path = f'/v1/weights/{version}/chunks/{index}'
         return await self._read(path, on_piece)
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_task.py
@@ -117,7 +117,7 @@
 
     @property
     def hinders(self) -> str:
-        """Why the engine hasn't the declared version; empty if it has."""
+        """Why the engine lacks the declared version; empty if it has it."""
         if self._active_transfer is None:
             return self._blocking_reason
         now = asyncio.get_running_loop().time()
@@ -258,7 +258,7 @@
             state = await self._loader.load(
                 goal, transfer, lambda: self._snapshot
             )
-        self._note_loaded(goal, state)
+        self._record_loaded(goal, state)
         for adapter in goal.adapters:
             if adapter.name not in state.adapters:
                 await self._add_adapter(goal, adapter)
@@ -270,7 +270,7 @@
             transfer = await self._collect(goal, adapter)
         self._set_blocking_reason(f'the engine is loading {adapter.name}')
         state = await self._loader.load_adapter(goal, adapter.name, transfer)
-        self._note_loaded(goal, state)
+        self._record_loaded(goal, state)
 
     async def _collect(self, goal: Goal, artifact: Artifact) -> Transfer:
         """Collect all chunks of a version or an adapter."""
@@ -304,7 +304,7 @@
             self._active_transfer = None
         return transfer
 
-    def _note_loaded(self, goal: Goal, state: EngineState) -> None:
+    def _record_loaded(self, goal: Goal, state: EngineState) -> None:
         before = self._engine_status.loaded
         self._engine_status.loaded = state.version
         self._runs.post(
--- a/packages/daemon/src/crowrudder_daemon/entry/_claims.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_claims.py
@@ -94,9 +94,9 @@
     # The requests continue after the decision: a voter that answers late has
     # still recorded the claim, which only adds redundancy.
     for answered in asyncio.as_completed(jobs):
-        vote = tally.take(*await answered)
-        if vote is not ClaimResult.OPEN:
-            return vote
+        result = tally.take(*await answered)
+        if result is not ClaimResult.OPEN:
+            return result
     return tally.close()
 
 
--- a/packages/daemon/src/crowrudder_daemon/entry/_links.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_links.py
@@ -61,16 +61,16 @@
         self._peers = peers
         self._consumer = consumer
         self._knowledge = knowledge
-        self._links: dict[tuple[str, str], asyncio.Task[Any]] = {}
+        self._streams: dict[tuple[str, str], asyncio.Task[Any]] = {}
 
     def on_streams_wanted(self, message: StreamsWanted) -> None:
         """Open missing streams and close those no longer wanted."""
-        for link in set(self._links).difference(message.addresses):
-            self._links.pop(link).cancel()
-            self._consumer.post(AgentLost(link[0]))
-        for link in message.addresses:
-            if link not in self._links:
-                self._links[link] = self.spawn(self._follow(*link))
+        for agent in set(self._streams).difference(message.addresses):
+            self._streams.pop(agent).cancel()
+            self._consumer.post(AgentLost(agent[0]))
+        for agent in message.addresses:
+            if agent not in self._streams:
+                self._streams[agent] = self.spawn(self._follow(*agent))
 
     async def _follow(self, host: str, address: str) -> None:
         request = ReportRequest(
--- a/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
@@ -169,8 +169,8 @@
                 self._owner_task.snapshot.suspects,
             ),
         )
-        vote = await acquire_claim(self._peers, self.claim, budget_s=left_s)
-        match vote:
+        result = await acquire_claim(self._peers, self.claim, budget_s=left_s)
+        match result:
             case ClaimResult.HELD:
                 return None
             case ClaimResult.TAKEN:
--- a/packages/daemon/src/crowrudder_daemon/entry/_requests.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_requests.py
@@ -32,7 +32,7 @@
 SECOND_QUEUE_SHARE = 0.5
 """Second queue places as a share of the requests."""
 
-FORGET_EVERY_S = 30.0
+CLEANUP_INTERVAL_S = 30.0
 
 
 @frozen
@@ -232,10 +232,10 @@
 
     async def _remove_expired_periodically(self) -> None:
         # Reports of agents that are already running arrive within seconds.
-        await asyncio.sleep(FORGET_EVERY_S / 10)
+        await asyncio.sleep(CLEANUP_INTERVAL_S / 10)
         self.agents.router.on_started()
         while True:
-            await asyncio.sleep(FORGET_EVERY_S)
+            await asyncio.sleep(CLEANUP_INTERVAL_S)
             self.post(RemoveExpired())
 
     def _now(self) -> float:
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_parts.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_parts.py
@@ -50,7 +50,7 @@
     Parameters
     ----------
     known
-        the bundle that the peer has, if known here; None for a complete
+        The bundle that the peer has, if known here; None for a complete
         bundle.
     """
     if active_config.bundle is None:
@@ -72,7 +72,7 @@
     Raises
     ------
     PartError
-        when its base is another bundle than ``base``, or it is damaged.
+        If its base is another bundle than ``base``, or it is damaged.
     """
     payload = _inflated(part.body, teller)
     if part.base:
@@ -108,7 +108,7 @@
     Raises
     ------
     CrowrudderError
-        when it is damaged, or its base is a list that isn't known here.
+        If it is damaged, or its base is a list that isn't known here.
     """
     delta = decode_message(
         _inflated(part.body, teller),
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_state.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_state.py
@@ -138,7 +138,8 @@
         self.reading.on_peer_report(hello.read_age_s, time.monotonic())
         self.view.on_call_answered(host)
         results = [
-            self.view.on_update(news) for news in (hello.sender, *hello.news)
+            self.view.on_update(update)
+            for update in (hello.sender, *hello.news)
         ]
         if any(each.has_changed for each in results):
             self.publish_members(host)
