--- a/measure/_dispatch_engine.py
+++ b/measure/_dispatch_engine.py
@@ -1,4 +1,4 @@
-"""An engine that reads and writes in passes, as a model for measurements."""
+"""Simulated engine that prefills and decodes in passes."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 @define
 class Clock:
-    """Virtual seconds, and what happens next."""
+    """Virtual time in seconds, and the scheduled actions."""
 
     now: float = 0
     _events: list[tuple[float, int, Callable[[], object]]] = field(factory=list)
     _numbers: itertools.count[int] = field(factory=itertools.count)
 
-    def after(self, wait_s: float, action: Callable[[], object]) -> None:
-        """Do something in so many seconds."""
-        event = (self.now + wait_s, next(self._numbers), action)
+    def after(self, delay_s: float, action: Callable[[], object]) -> None:
+        """Schedule an action after a delay."""
+        event = (self.now + delay_s, next(self._numbers), action)
         heapq.heappush(self._events, event)
 
     def run(self, until_s: float) -> None:
-        """Let everything happen up to a time."""
+        """Run all actions that are due up to a time."""
         while self._events and self._events[0][0] <= until_s:
             self.now, _, action = heapq.heappop(self._events)
             action()
@@ -38,7 +38,7 @@
 
 @define(eq=False)
 class Job:
-    """A request at an engine; times are the clock's, tokens are left."""
+    """A request at an engine; ``answer`` counts the remaining tokens."""
 
     prompt: int
     answer: int
@@ -49,12 +49,12 @@
 
 @define(eq=False)
 class Engine:
-    """Admits at the start of a pass, reads prompts, then writes tokens.
+    """Admits requests at the start of a pass, prefills, then decodes.
 
     Parameters
     ----------
     pace
-        Times are so many times those of the figures.
+        Slowdown factor: multiplies the times of the figures.
     """
 
     clock: Clock
@@ -62,25 +62,25 @@
     pace: float = 1
     queue: deque[Job] = field(factory=deque)
     running: list[Job] = field(factory=list)
-    _is_passing: bool = False
+    _is_in_pass: bool = False
 
     def send(self, job: Job) -> None:
-        """Take a request."""
+        """Queue a request; start a pass if the engine is idle."""
         self.queue.append(job)
-        if not self._is_passing:
+        if not self._is_in_pass:
             self._begin_pass()
 
     def _begin_pass(self) -> None:
         while self.queue and len(self.running) < self.figures.slots:
             self.running.append(self.queue.popleft())
-        self._is_passing = bool(self.running)
-        if not self._is_passing:
+        self._is_in_pass = bool(self.running)
+        if not self._is_in_pass:
             return
         model = EngineModel(self.figures)
-        writers = sum(job.has_begun for job in self.running)
-        unread = [job for job in self.running if not job.has_begun]
-        took_s = model.pass_s(writers)
-        took_s += sum(model.prefill_s(job.prompt) for job in unread)
+        decoding = sum(job.has_begun for job in self.running)
+        prefilling = [job for job in self.running if not job.has_begun]
+        took_s = model.pass_s(decoding)
+        took_s += sum(model.prefill_s(job.prompt) for job in prefilling)
         self.clock.after(self.pace * took_s, self._end_pass)
 
     def _end_pass(self) -> None:
@@ -93,6 +93,6 @@
                 job.on_first()
         ended = [each for each in self.running if each.answer <= 0]
         self.running = [each for each in self.running if each.answer > 0]
-        for whole in ended:
-            whole.on_end()
+        for job in ended:
+            job.on_end()
         self._begin_pass()
--- a/measure/_dispatch_policies.py
+++ b/measure/_dispatch_policies.py
@@ -1,4 +1,4 @@
-"""Ways of choosing an upstream that the forecast is measured against."""
+"""Policies for choosing an upstream, compared with the forecast."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Policy(Protocol):
-    """Chooses among candidates by what one entry knows of them."""
+    """Chooses a candidate from what one entry knows."""
 
     def __call__(
         self,
@@ -26,7 +26,7 @@
         now: float,
         random: Random,
     ) -> UpstreamForecast:
-        """Choose one."""
+        """Return the chosen candidate's forecast."""
 
 
 def by_forecast(
@@ -35,11 +35,15 @@
     prompt: int,
     now: float,
     random: Random,
-    drawn: int = SAMPLE_SIZE,
+    sample_size: int = SAMPLE_SIZE,
 ) -> UpstreamForecast:
-    """Choose as an entry does, or as one that draws another number."""
+    """Choose as an entry does, optionally with another sample size."""
     choice = choose(
-        candidates, prompt=prompt, now=now, random=random, sample_size=drawn
+        candidates,
+        prompt=prompt,
+        now=now,
+        random=random,
+        sample_size=sample_size,
     )
     assert choice is not None
     return choice.forecast
@@ -52,7 +56,7 @@
     now: float,
     random: Random,
 ) -> UpstreamForecast:
-    """Draw any."""
+    """Choose any candidate at random."""
     return random.choice(candidates).forecast
 
 
@@ -63,7 +67,7 @@
     now: float,
     random: Random,
 ) -> UpstreamForecast:
-    """Take the one to which this entry has sent least that hasn't ended."""
+    """Choose the one with the fewest requests in flight from this entry."""
     return min(
         candidates,
         key=lambda each: (each.forecast.own, random.random()),
@@ -77,7 +81,7 @@
     now: float,
     random: Random,
 ) -> UpstreamForecast:
-    """Take the one with the fewest requests, by the agents' words."""
+    """Choose the one with the fewest requests by the agents' load reports."""
     return min(
         candidates,
         key=lambda each: (each.forecast.total(now), random.random()),
@@ -92,7 +96,9 @@
 }
 
 ALL = 10_000
-"""More than there are candidates in any case."""
+"""Sample size that exceeds the number of candidates in every case."""
 
-EARLIER: dict[str, Policy] = {'best_of_all': partial(by_forecast, drawn=ALL)}
-"""Ways that the product went before."""
+EARLIER: dict[str, Policy] = {
+    'best_of_all': partial(by_forecast, sample_size=ALL)
+}
+"""Policies that the product used before."""
--- a/measure/_virtual_time.py
+++ b/measure/_virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer: no second is waited."""
+"""An event loop whose clock jumps to the next timer instead of waiting."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Moves the clock on in place of waiting for sockets."""
+    """Advances the clock instead of waiting for sockets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -21,7 +21,7 @@
         self,
         timeout: float | None = None,
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Look at the sockets without waiting."""
+        """Poll the sockets without waiting; advance the clock by the timeout."""
         if timeout is None:
             raise RuntimeError('nothing is left to wait for')
         self.now += max(timeout, 0)
@@ -29,27 +29,27 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs the daemon's tasks as they are, in virtual seconds."""
+    """Runs the daemon's unmodified tasks in virtual time."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
         super().__init__(self._jumping)
 
     def time(self) -> float:
-        """Give the virtual seconds since the start."""
+        """Return the virtual seconds since the start."""
         return self._jumping.now
 
 
-def run_virtual(job: Coroutine[Any, Any, T]) -> T:
+def run_virtual(coroutine: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine to its end in virtual time."""
     loop = VirtualLoop()
     try:
-        return loop.run_until_complete(job)
+        return loop.run_until_complete(coroutine)
     finally:
-        left = asyncio.all_tasks(loop)
-        for task in left:
+        pending = asyncio.all_tasks(loop)
+        for task in pending:
             task.cancel()
         loop.run_until_complete(
-            asyncio.gather(*left, return_exceptions=True),
+            asyncio.gather(*pending, return_exceptions=True),
         )
         loop.close()
--- a/measure/dispatch.py
+++ b/measure/dispatch.py
@@ -1,8 +1,9 @@
-"""Choosing an engine by forecast, beside other ways, in virtual time.
+"""Compares choosing an engine by forecast with other policies, in virtual time.
 
-Entries and engines stand in three regions. Each way meets the same arrivals;
-what differs between the cases is the load, one slow engine whose agent says
-so, one agent without a word, and how often entries of other regions hear.
+Entries and engines are spread over three regions. Each policy gets the same
+arrivals; the cases differ in load, in size, in the number of slow engines whose
+agents report the slowdown, in the number of agents that send no load reports,
+and in how often entries of other regions receive them.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 SECONDS = 20.0
 WARM_UP_S = 2.0
 GOAL_S = 0.45
-WORD_S = 0.1
+LOAD_REPORT_INTERVAL_S = 0.1
 IN_TRANSIT_S = 0.002
 SEED = 1
 
@@ -50,17 +51,17 @@
 
 @frozen(kw_only=True)
 class Case:
-    """What the ways of choosing are put through.
+    """Conditions under which the policies are compared.
 
-    ``load`` is in parts of what all engines can do; ``far_s`` is the time
-    between two words to entries of other regions.
+    ``load`` is a fraction of the capacity of all engines; ``far_s`` is the
+    interval between load reports to entries of other regions.
     """
 
     load: float
     slow: int = 0
     silent: int = 0
     far_s: float = 0.3
-    near_s: float = WORD_S
+    near_s: float = LOAD_REPORT_INTERVAL_S
     entries: int = 6
     engines: int = 12
 
@@ -83,10 +84,10 @@
 
     region: int
     forecasts: list[UpstreamForecast]
-    draw: random.Random
+    rng: random.Random
 
     def candidates(self) -> list[Candidate]:
-        """Give all engines, with how far they are."""
+        """Return all engines, with whether they are in another region."""
         return [
             Candidate(
                 forecast=forecast,
@@ -98,7 +99,7 @@
 
 @define(eq=False)
 class World:
-    """A fleet in virtual time, under one way of choosing."""
+    """A fleet in virtual time under one policy."""
 
     case: Case
     policy: Policy
@@ -111,7 +112,7 @@
     _random: random.Random = field(factory=lambda: random.Random(SEED))
 
     def __attrs_post_init__(self) -> None:
-        """Make engines and entries, and let the words begin."""
+        """Create engines and entries, and start the load reports."""
         self.engines = [
             Engine(
                 self.clock, FIGURES, pace=3 if number < self.case.slow else 1
@@ -130,11 +131,11 @@
             for number in range(self.case.entries)
         ]
         for number in range(self.case.silent, self.case.engines):
-            self._tell_near(number)
-            self._tell_far(number)
+            self._report_near(number)
+            self._report_far(number)
 
     def run(self) -> None:
-        """Send for some time, and wait for the first events."""
+        """Send requests for a time, then wait for their first events."""
         slot_interval_s = EngineModel(FIGURES).slot_interval_s(FIGURES.slots)
         rate = self.case.load * self.case.engines / slot_interval_s
         self._arrive(rate)
@@ -152,39 +153,41 @@
         answer = round(self._random.expovariate(1 / FIGURES.usual_answer)) + 1
         now = self.clock.now
         forecast = self.policy(
-            entry.candidates(), prompt=prompt, now=now, random=entry.draw
+            entry.candidates(), prompt=prompt, now=now, random=entry.rng
         )
         number = int(forecast.upstream.id)
-        ticket = self.sent
+        request_number = self.sent
         self.sent += 1
         self.far += number % REGIONS != entry.region
         forecast_s = forecast.first_s(prompt, now)
-        forecast.on_sent(ticket, InFlightRequest(prompt, now))
+        forecast.on_sent(request_number, InFlightRequest(prompt, now))
 
         def on_first() -> None:
-            then = self.clock.now
-            forecast.on_begun(ticket, forecast_s=forecast_s, now=then)
+            first_at = self.clock.now
+            forecast.on_begun(
+                request_number, forecast_s=forecast_s, now=first_at
+            )
             if now >= WARM_UP_S:
-                self.firsts.append(then - now)
+                self.firsts.append(first_at - now)
 
         def on_end() -> None:
-            forecast.on_ended(ticket)
+            forecast.on_ended(request_number)
             forecast.on_success(self.clock.now - now)
 
         job = Job(prompt, answer, on_first, on_end)
         self.clock.after(IN_TRANSIT_S, partial(self.engines[number].send, job))
 
-    def _tell_near(self, number: int) -> None:
-        self._tell(number, is_far=False)
-        self.clock.after(self.case.near_s, partial(self._tell_near, number))
+    def _report_near(self, number: int) -> None:
+        self._send_report(number, is_far=False)
+        self.clock.after(self.case.near_s, partial(self._report_near, number))
 
-    def _tell_far(self, number: int) -> None:
-        self._tell(number, is_far=True)
-        self.clock.after(self.case.far_s, partial(self._tell_far, number))
+    def _report_far(self, number: int) -> None:
+        self._send_report(number, is_far=True)
+        self.clock.after(self.case.far_s, partial(self._report_far, number))
 
-    def _tell(self, number: int, *, is_far: bool) -> None:
+    def _send_report(self, number: int, *, is_far: bool) -> None:
         engine = self.engines[number]
-        word = EngineLoad(
+        report = EngineLoad(
             address=str(number),
             reachable=True,
             weights=1,
@@ -197,7 +200,7 @@
                 forecast = entry.forecasts[number]
                 now = self.clock.now + IN_TRANSIT_S
                 self.clock.after(
-                    IN_TRANSIT_S, partial(forecast.on_load, word, now=now)
+                    IN_TRANSIT_S, partial(forecast.on_load, report, now=now)
                 )
 
 
@@ -209,21 +212,21 @@
         slots=FIGURES.slots,
         weights=1,
     )
-    made = UpstreamForecast(upstream, other_entries=case.entries - 1)
-    made.on_engine_figures(FIGURES)
-    return made
+    forecast = UpstreamForecast(upstream, other_entries=case.entries - 1)
+    forecast.on_engine_figures(FIGURES)
+    return forecast
 
 
 def run(show: Show) -> None:
-    """Print each way's figures in each case."""
+    """Print the figures of each policy in each case."""
     for name, case in CASES.items():
-        for way, policy in {**POLICIES, **EARLIER}.items():
+        for policy_name, policy in {**POLICIES, **EARLIER}.items():
             world = World(case, policy)
             world.run()
             firsts = sorted(world.firsts)
             in_goal = sum(first <= GOAL_S for first in firsts)
-            start = f'dispatch.{name}.{way}'
-            show(f'{start}.in_goal', in_goal / len(firsts))
-            show(f'{start}.first_p50_s', firsts[len(firsts) // 2])
-            show(f'{start}.first_p99_s', firsts[len(firsts) * 99 // 100])
-            show(f'{start}.other_region', world.far / world.sent)
+            prefix = f'dispatch.{name}.{policy_name}'
+            show(f'{prefix}.in_goal', in_goal / len(firsts))
+            show(f'{prefix}.first_p50_s', firsts[len(firsts) // 2])
+            show(f'{prefix}.first_p99_s', firsts[len(firsts) * 99 // 100])
+            show(f'{prefix}.other_region', world.far / world.sent)
