--- a/measure/_weights_fleet.py
+++ b/measure/_weights_fleet.py
@@ -1,8 +1,8 @@
 """Hosts that run the daemon's transfer aggregate over rate-limited links.
 
-Nothing of the decisions stands here: reads, polls, suspicion and the origin's
-turn come from `crowrudder_core.transfer`. This module moves chunks over links
-and tells each host's transfer what happened, and when.
+All decisions (reads, inventory queries, suspicion and the assigned readers of
+the origin) are made by `crowrudder_core.transfer`. This module moves chunks
+over links and passes each event and its time to the host's transfer.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 
 CHUNK_BYTES = 32
 CHUNK_US = 500_000
-"""Half a second a chunk: with 256 chunks a copy takes 128 s, T is 256 s."""
+"""Half a second per chunk: with 256 chunks a copy takes 128 s, T is 256 s."""
 
 LINK_BYTES_PER_S = CHUNK_BYTES * MICROS / CHUNK_US
 ORIGIN_CHUNK_US = CHUNK_US // 2
 DOMAIN_US = 1500
 REGION_US = 3000
 TICK_US = 100_000
-SILENCE_US = MICROS
+NO_ANSWER_TIMEOUT_US = MICROS
 UPLOAD_SLOTS = 2
 REGIONS = 2
 DOMAINS = 3
@@ -50,40 +50,40 @@
 
 @frozen(kw_only=True)
 class Links:
-    """What links carry, and how soon hosts hear of each other.
+    """Rates of the links, and intervals between the messages of hosts.
 
     Parameters
     ----------
     chunk_us, sent_us, origin_us
-        Microseconds of a chunk on a host's link, on the part of it that live
-        answers leave, and on the origin's link.
+        Microseconds that a chunk takes on a host's link, on the share of it
+        that live answers leave for uploads, and on the origin's link.
     tick_us
-        Between two looks of a host at what it might read.
-    news_us
-        Between two words of a host to all others on what it holds; 0 where
-        they ask.
+        Interval at which a host checks which chunks it can read.
+    inventory_interval_us
+        Interval at which a host sends its inventory to the others; 0 if
+        they only query it.
     slots
-        Chunks that a host sends at once.
+        Chunks that a host sends concurrently.
     regions, domains
-        Regions, and failure domains in each.
+        Number of regions, and of failure domains in each.
     """
 
     chunk_us: int = CHUNK_US
     sent_us: int = CHUNK_US
     origin_us: int = ORIGIN_CHUNK_US
     tick_us: int = TICK_US
-    news_us: int = 0
+    inventory_interval_us: int = 0
     slots: int = UPLOAD_SLOTS
     regions: int = REGIONS
     domains: int = DOMAINS
 
     @property
     def bytes_per_s(self) -> float:
-        """What a host's link carries."""
+        """Rate of a host's link."""
         return CHUNK_BYTES * MICROS / self.chunk_us
 
     def place_of(self, number: int) -> Place:
-        """Spread hosts over regions and their failure domains."""
+        """Return a host's place, spread over regions and failure domains."""
         region = number % self.regions
         domain = number // self.regions % self.domains
         return Place(f'r{region}', f'r{region}-{domain}')
@@ -91,7 +91,7 @@
 
 @frozen(kw_only=True)
 class Scene:
-    """What a run is like; ``changes`` go to each host's pace."""
+    """Settings of a run; ``changes`` override each host's pacing."""
 
     hosts: int = 8
     chunks: int = 256
@@ -107,12 +107,12 @@
 
     @property
     def bound_us(self) -> int:
-        """A copy over a machine's link: T/2."""
+        """Time of one copy over a host's link: T/2."""
         return self.chunks * self.links.chunk_us
 
 
 def make_version(name: str, chunks: int, seed: int) -> tuple[Manifest, list]:
-    """Make a version of random bytes."""
+    """Return the manifest and the chunks of a version of random bytes."""
     rng = random.Random(seed)
     payloads = [rng.randbytes(CHUNK_BYTES) for _ in range(chunks)]
     manifest = Manifest(
@@ -126,7 +126,7 @@
 
 
 def place_of(number: int) -> Place:
-    """Spread hosts over 2 regions with 3 failure domains each."""
+    """Return a host's place in 2 regions with 3 failure domains each."""
     return Links().place_of(number)
 
 
@@ -148,8 +148,8 @@
 
     upload_slots: int = UPLOAD_SLOTS
 
-    def stock(self) -> PeerInventory:
-        """Tell what it says of itself."""
+    def inventory(self) -> PeerInventory:
+        """Return the inventory that the host sends to its peers."""
         return PeerInventory(
             host=self.name,
             chunks=self.transfer.held,
@@ -160,7 +160,7 @@
 
 
 class Fleet:
-    """All hosts of a service that get one version."""
+    """All hosts of a service that load one version."""
 
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
@@ -179,26 +179,26 @@
             self.join(host, places)
 
     def join(self, host: Host, places: dict[str, Place]) -> None:
-        """Let a host begin, with the hosts that it knows of."""
+        """Start a host with the list of hosts that it knows."""
         self.hosts[host.name] = host
         host.transfer.on_hosts(places)
         links = self.scene.links
-        begins_at = self.clock.now + self.random.randrange(links.tick_us)
-        self.clock.at(begins_at, partial(self._tick, host))
-        if links.news_us:
-            self.clock.at(begins_at, partial(self._tell, host))
+        starts_at = self.clock.now + self.random.randrange(links.tick_us)
+        self.clock.at(starts_at, partial(self._tick, host))
+        if links.inventory_interval_us:
+            self.clock.at(starts_at, partial(self._send_inventory, host))
 
     def new_host(self, number: int) -> Host:
-        """Make a host that hasn't begun."""
+        """Return a host that has not been started."""
         return self._host(f'h{number}', self.scene.links.place_of(number))
 
     @property
     def places(self) -> dict[str, Place]:
-        """Where all hosts stand."""
+        """Places of all hosts by name."""
         return {name: host.place for name, host in self.hosts.items()}
 
     def run(self, *, until_us: int | None = None) -> None:
-        """Run until every live host holds all, or up to a time."""
+        """Run until every live host holds all chunks, or until a time."""
         self._plan_faults()
         while self.clock.step():
             if until_us is not None and self.clock.now >= until_us:
@@ -210,12 +210,12 @@
                 return
 
     def waiting(self) -> list[Host]:
-        """Hosts that aren't done."""
+        """Return the hosts whose version is incomplete, dead ones included."""
         return [host for host in self.hosts.values() if host.done_at is None]
 
     @property
     def time_over_bound(self) -> float:
-        """When the last live host held the verified whole, over T/2."""
+        """Time until the last live host was verified as complete, over T/2."""
         last = max(
             host.done_at or self.clock.now
             for host in self.hosts.values()
@@ -225,16 +225,16 @@
 
     @property
     def origin_copies(self) -> float:
-        """Copies that left the origin."""
+        """Copies sent by the origin."""
         return self.origin.copies / self.scene.chunks
 
     @property
     def region_copies(self) -> float:
-        """Copies that crossed the region link."""
+        """Copies sent from one region to another."""
         return self.events['across'] / self.scene.chunks
 
     def kill(self, names: list[str]) -> None:
-        """Let hosts die."""
+        """Stop hosts for good."""
         for name in names:
             self.hosts[name].alive = False
 
@@ -251,8 +251,8 @@
             random=random.Random(seed),
             copies=self.scene.copies,
         )
-        pace = attrs.evolve(transfer.pace, **self.scene.changes)
-        transfer.pace = transfer.peers.pace = transfer.origin.pace = pace
+        pacing = attrs.evolve(transfer.pace, **self.scene.changes)
+        transfer.pace = transfer.peers.pace = transfer.origin.pace = pacing
         up = Link()
         down = up if self.scene.half_duplex else Link()
         slots = self.scene.links.slots
@@ -278,18 +278,22 @@
             tick_us = self.scene.links.tick_us
             self.clock.at(self.clock.now + tick_us, partial(self._tick, host))
 
-    def _tell(self, host: Host) -> None:
-        """Let a host tell all others what it holds."""
+    def _send_inventory(self, host: Host) -> None:
+        """Send a host's inventory to all others, now and periodically."""
         if not host.alive or host.frozen:
             return
-        stock = host.stock()
+        inventory = host.inventory()
         for other in self.hosts.values():
             if other is not host and self._reaches(host, other):
                 self._after(
-                    _way(host, other), partial(self._heard, other, stock)
+                    _latency_us(host, other),
+                    partial(self._on_inventory, other, inventory),
                 )
-        news_us = self.scene.links.news_us
-        self.clock.at(self.clock.now + news_us, partial(self._tell, host))
+        inventory_interval_us = self.scene.links.inventory_interval_us
+        self.clock.at(
+            self.clock.now + inventory_interval_us,
+            partial(self._send_inventory, host),
+        )
 
     def _advance(self, host: Host) -> None:
         now = self.clock.now_s
@@ -299,7 +303,7 @@
             transfer.on_failed(read, now=now)
         for name in transfer.peers_to_query(now=now):
             self.events['asked'] += 1
-            self._ask(host, self.hosts[name])
+            self._query(host, self.hosts[name])
         for read in transfer.next_reads(now=now):
             self._start(host, read)
 
@@ -308,42 +312,51 @@
             case FromPeer(host=name):
                 source = self.hosts[name]
                 self._after(
-                    _way(host, source),
+                    _latency_us(host, source),
                     partial(self._serve, source, host, read),
                 )
             case FromOrigin():
-                self._from_origin(host, read)
+                self._read_from_origin(host, read)
 
-    def _ask(self, host: Host, peer: Host) -> None:
+    def _query(self, host: Host, peer: Host) -> None:
         if not self._reaches(host, peer):
-            self._after(SILENCE_US, partial(self._silent, host, peer.name))
+            self._after(
+                NO_ANSWER_TIMEOUT_US,
+                partial(self._on_no_answer, host, peer.name),
+            )
             return
-        way = _way(host, peer)
-        stock = peer.stock()
-        self._after(2 * way, partial(self._heard, host, stock))
+        latency_us = _latency_us(host, peer)
+        inventory = peer.inventory()
+        self._after(
+            2 * latency_us, partial(self._on_inventory, host, inventory)
+        )
 
-    def _silent(self, host: Host, name: str) -> None:
+    def _on_no_answer(self, host: Host, name: str) -> None:
         host.transfer.on_no_answer(name, now=self.clock.now_s)
 
-    def _heard(self, host: Host, stock: PeerInventory) -> None:
-        host.transfer.on_inventory(stock, now=self.clock.now_s)
+    def _on_inventory(self, host: Host, inventory: PeerInventory) -> None:
+        host.transfer.on_inventory(inventory, now=self.clock.now_s)
         self._advance_if_alive(host)
 
     def _serve(self, source: Host, host: Host, read: FromPeer) -> None:
-        way = _way(host, source)
+        latency_us = _latency_us(host, source)
         if not self._reaches(host, source):
-            self._after(SILENCE_US, partial(self._failed, host, read))
+            self._after(
+                NO_ANSWER_TIMEOUT_US, partial(self._on_failed, host, read)
+            )
             return
         if source.slots >= source.upload_slots:
             self.events['busy'] += 1
-            stock = source.stock()
-            self._after(way, partial(self._busy, host, read, stock))
+            inventory = source.inventory()
+            self._after(
+                latency_us, partial(self._on_busy, host, read, inventory)
+            )
             return
         source.slots += 1
         begin, end = source.up.reserve(self.clock.now, self.scene.links.sent_us)
-        self.clock.at(end, partial(self._sent, source, host, read, begin))
+        self.clock.at(end, partial(self._on_sent, source, host, read, begin))
 
-    def _sent(
+    def _on_sent(
         self,
         source: Host,
         host: Host,
@@ -355,50 +368,58 @@
             return
         if source.place.region != host.place.region:
             self.events['across'] += 1
-        way = _way(host, source)
-        self._arrive(host, read, began + way, way, source.stock())
+        latency_us = _latency_us(host, source)
+        self._schedule_arrival(
+            host, read, began + latency_us, latency_us, source.inventory()
+        )
 
-    def _from_origin(self, host: Host, read: FromOrigin) -> None:
+    def _read_from_origin(self, host: Host, read: FromOrigin) -> None:
         if not self.origin_up:
             self._after(
-                REGION_US, partial(self._failed, host, read, was_sent=False)
+                REGION_US, partial(self._on_failed, host, read, was_sent=False)
             )
             return
         self.origin.send(
             lambda: host.transfer.on_bytes_received(read, now=self.clock.now_s),
-            lambda began: self._arrive(host, read, began, REGION_US, None),
+            lambda began: self._schedule_arrival(
+                host, read, began, REGION_US, None
+            ),
         )
 
-    def _arrive(
+    def _schedule_arrival(
         self,
         host: Host,
         read: Read,
         began: int,
-        way: int,
-        stock: PeerInventory | None,
+        latency_us: int,
+        inventory: PeerInventory | None,
     ) -> None:
-        """Take a chunk off the receiver's link, cut through from ``began``."""
+        """Schedule a chunk's arrival over the receiver's link.
+
+        The chunk is forwarded while it is still being sent, so it occupies
+        the link from ``began`` at the earliest.
+        """
         down = host.down
-        # A half-duplex link can't take a chunk while it sends another.
+        # A half-duplex link cannot receive a chunk while it sends another.
         chunk_us = self.scene.links.chunk_us
         earliest = self.clock.now - chunk_us if down is host.up else began
         start = max(earliest, down.free_at)
         down.free_at = start + chunk_us
-        arrives = max(start + chunk_us, self.clock.now + way)
-        self.clock.at(arrives, partial(self._take, host, read, stock))
+        arrives = max(start + chunk_us, self.clock.now + latency_us)
+        self.clock.at(arrives, partial(self._receive, host, read, inventory))
 
-    def _take(
-        self, host: Host, read: Read, stock: PeerInventory | None
+    def _receive(
+        self, host: Host, read: Read, inventory: PeerInventory | None
     ) -> None:
         if not host.alive or host.frozen:
             return
         payload = self.payloads[read.index]
-        if self._is_spoilt(read):
+        if self._is_corrupted(read):
             self.events['corrupted'] += 1
             payload = payload[::-1]
         transfer = host.transfer
-        if stock is not None:
-            transfer.on_inventory(stock, now=self.clock.now_s)
+        if inventory is not None:
+            transfer.on_inventory(inventory, now=self.clock.now_s)
         transfer.on_bytes_received(
             read, now=self.clock.now_s, size=len(payload)
         )
@@ -411,18 +432,22 @@
             host.done_at = self.clock.now
         self._advance(host)
 
-    def _is_spoilt(self, read: Read) -> bool:
+    def _is_corrupted(self, read: Read) -> bool:
         if isinstance(read, FromPeer) and self.hosts[read.host].spoils:
             self.events['from_spoiler'] += 1
             return True
         return self.random.random() < self.scene.corrupted_share
 
-    def _busy(self, host: Host, read: FromPeer, stock: PeerInventory) -> None:
-        host.transfer.on_inventory(stock, now=self.clock.now_s)
+    def _on_busy(
+        self, host: Host, read: FromPeer, inventory: PeerInventory
+    ) -> None:
+        host.transfer.on_inventory(inventory, now=self.clock.now_s)
         host.transfer.on_busy(read, now=self.clock.now_s)
         self._advance_if_alive(host)
 
-    def _failed(self, host: Host, read: Read, *, was_sent: bool = True) -> None:
+    def _on_failed(
+        self, host: Host, read: Read, *, was_sent: bool = True
+    ) -> None:
         host.transfer.on_failed(read, now=self.clock.now_s, was_sent=was_sent)
         self._advance_if_alive(host)
 
@@ -435,11 +460,11 @@
         awake = host.alive and other.alive and not other.frozen
         return awake and same
 
-    def _after(self, micros: int, call: Callable[[], None]) -> None:
-        self.clock.at(self.clock.now + micros, call)
+    def _after(self, delay_us: int, call: Callable[[], None]) -> None:
+        self.clock.at(self.clock.now + delay_us, call)
 
 
-def _way(host: Host, other: Host) -> int:
-    """Give the one-way latency in microseconds."""
+def _latency_us(host: Host, other: Host) -> int:
+    """Return the one-way latency in microseconds."""
     same = host.place.region == other.place.region
     return DOMAIN_US if same else REGION_US
--- a/measure/_weights_links.py
+++ b/measure/_weights_links.py
@@ -1,4 +1,4 @@
-"""A clock of whole microseconds and links with a rate."""
+"""A virtual clock in microseconds, and links with a limited rate."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @define
 class Clock:
-    """Runs callbacks at whole microseconds, in the order they were set."""
+    """Runs callbacks in order of time, then in the order of scheduling."""
 
     now: int = 0
     _due: list[tuple[int, int, Callable[[], None]]] = field(factory=list)
@@ -30,12 +30,12 @@
         return self.now / MICROS
 
     def at(self, when: int, call: Callable[[], None]) -> None:
-        """Run a callback at a time, now at the earliest."""
+        """Schedule a callback at a time, or now if that time has passed."""
         self._serial += 1
         heapq.heappush(self._due, (max(when, self.now), self._serial, call))
 
     def step(self) -> bool:
-        """Run the next callback; false when there is none."""
+        """Run the next callback; return false if there is none."""
         if not self._due:
             return False
         self.now, _, call = heapq.heappop(self._due)
@@ -45,35 +45,35 @@
 
 @define
 class Link:
-    """One direction of a machine's link; chunks go one after the other."""
+    """One direction of a host's link; sends one chunk after the other."""
 
     free_at: int = 0
     carried: int = 0
 
-    def reserve(self, now: int, micros: int) -> tuple[int, int]:
-        """Take the link for so long; give begin and end."""
+    def reserve(self, now: int, duration_us: int) -> tuple[int, int]:
+        """Reserve the link for a duration; return its start and end."""
         begin = max(now, self.free_at)
-        self.free_at = begin + micros
+        self.free_at = begin + duration_us
         self.carried += 1
         return begin, self.free_at
 
 
 @define(eq=False)
-class _Sending:
-    moved: Callable[[], None]
-    done: Callable[[int], None]
+class _ChunkInFlight:
+    on_slice: Callable[[], None]
+    on_complete: Callable[[int], None]
     left: int = SLICES
     began: int = -1
 
 
 @define
 class SharedLink:
-    """The origin's link: all reads under way share it, slice by slice."""
+    """The origin's link, shared slice by slice by all reads in flight."""
 
     clock: Clock
     chunk_us: int
     carried: int = 0
-    _waiting: deque[_Sending] = field(factory=deque)
+    _in_flight: deque[_ChunkInFlight] = field(factory=deque)
     _busy: bool = False
 
     @property
@@ -83,38 +83,42 @@
 
     def send(
         self,
-        moved: Callable[[], None],
-        done: Callable[[int], None],
+        on_slice: Callable[[], None],
+        on_complete: Callable[[int], None],
     ) -> None:
-        """Send a chunk; ``done`` is told when its first slice began."""
-        self._waiting.append(_Sending(moved, done))
+        """Send a chunk.
+
+        ``on_slice`` is called after each slice, ``on_complete`` after the last
+        one, with the time at which the first began.
+        """
+        self._in_flight.append(_ChunkInFlight(on_slice, on_complete))
         if not self._busy:
             self._busy = True
-            self._next()
+            self._send_next_slice()
 
     def drop_all(self) -> None:
-        """Cut off all that is under way."""
-        self._waiting.clear()
+        """Abort all reads in flight."""
+        self._in_flight.clear()
 
-    def _next(self) -> None:
-        if not self._waiting:
+    def _send_next_slice(self) -> None:
+        if not self._in_flight:
             self._busy = False
             return
-        sending = self._waiting.popleft()
-        if sending.began < 0:
-            sending.began = self.clock.now
+        chunk = self._in_flight.popleft()
+        if chunk.began < 0:
+            chunk.began = self.clock.now
         self.carried += 1
         slice_us = self.chunk_us // SLICES
         self.clock.at(
             self.clock.now + slice_us,
-            partial(self._sent, sending),
+            partial(self._on_slice_sent, chunk),
         )
 
-    def _sent(self, sending: _Sending) -> None:
-        sending.left -= 1
-        sending.moved()
-        if sending.left:
-            self._waiting.append(sending)
+    def _on_slice_sent(self, chunk: _ChunkInFlight) -> None:
+        chunk.left -= 1
+        chunk.on_slice()
+        if chunk.left:
+            self._in_flight.append(chunk)
         else:
-            sending.done(sending.began)
-        self._next()
+            chunk.on_complete(chunk.began)
+        self._send_next_slice()
--- a/measure/_weights_processes.py
+++ b/measure/_weights_processes.py
@@ -1,7 +1,7 @@
-"""A new version on real agent processes, while live requests run.
+"""Loading of a new version by real agent processes under live requests.
 
-24 agents with their engines on loopback; links and origin are limited by the
-agents' buckets and the origin stand-in's rate.
+24 agents and their engines run on loopback; the agents' token buckets and the
+rate of the origin's stand-in limit the links and the origin.
 """
 
 from __future__ import annotations
@@ -27,11 +27,12 @@
     from collections.abc import Callable
 
 AGENTS = 24
-FEW_AGENTS = 6
-"""24 agents and engines want more than one machine's processors.
+SMALL_FLEET_AGENTS = 6
+"""Agents in a fleet that one machine can run.
 
-What live requests lose to that, on hosts of their own they would not; so the
-ratio is given for a fleet that the machine carries as well.
+24 agents and engines need more processors than one machine has. That slows
+live requests, which would not happen on separate hosts; so the ratio is also
+measured with a small fleet.
 """
 
 LINK_BYTES_PER_S = 3 << 19
@@ -42,15 +43,15 @@
 BOUND_S = SIZE / LINK_BYTES_PER_S
 REQUESTS_PER_S = 20
 CALM_S = 8.0
-WARM_S = 2.0
-LONGEST_S = 60
+WARM_UP_S = 2.0
+TIMEOUT_S = 60
 POLL_S = 0.1
-TAIL = 0.95
+TAIL_QUANTILE = 0.95
 
 
 @frozen
 class Figures:
-    """What one run gave; times in seconds."""
+    """Results of one run; times in seconds."""
 
     loaded_s: float
     origin_copies: float
@@ -59,11 +60,11 @@
     transfer_p95_s: float
     held_s: float
     answers: int
-    whole: int
+    complete_answers: int
 
 
 def measure(agents: int) -> Figures:
-    """Run a fleet of so many agents once."""
+    """Run a fleet with this number of agents once."""
     with tempfile.TemporaryDirectory() as directory:
         return asyncio.run(_run(agents, Path(directory)))
 
@@ -85,32 +86,32 @@
 async def _measure(fleet: Fleet, declared: Declared) -> Figures:
     await fleet.start()
     declared.set_replicas(fleet.plan.engines)
-    await _release(
+    await _publish_and_load(
         fleet, declared, _version('listing-v1', seed=1, chunks=FIRST_CHUNKS)
     )
     load = _Load(fleet)
-    await load.run_for(WARM_S)
+    await load.run_for(WARM_UP_S)
     load.times.clear()
     await load.run_for(CALM_S)
     calm = load.tail()
     load.times.clear()
-    burst = asyncio.create_task(load.run_for(LONGEST_S))
+    burst = asyncio.create_task(load.run_for(TIMEOUT_S))
     version = _version('listing-v2', seed=2)
     began = time.monotonic()
-    held_s, took_s = await _release(fleet, declared, version)
-    load.ends = True
+    held_s, took_s = await _publish_and_load(fleet, declared, version)
+    load.is_stopped = True
     await burst
-    books = await fleet.books(fleet.origin)
+    records = await fleet.books(fleet.origin)
     load.close()
     return Figures(
         loaded_s=took_s,
-        origin_copies=float(books['versions']['listing-v2']['copies']),
+        origin_copies=float(records['versions']['listing-v2']['copies']),
         calm_p95_s=calm,
         burst_p95_s=load.tail(),
         transfer_p95_s=load.tail(until=began + held_s),
         held_s=held_s,
         answers=len(load.caller.answers),
-        whole=sum(answer.whole for answer in load.caller.answers),
+        complete_answers=sum(answer.whole for answer in load.caller.answers),
     )
 
 
@@ -124,12 +125,12 @@
     )
 
 
-async def _release(
+async def _publish_and_load(
     fleet: Fleet,
     declared: Declared,
     weights: Weights,
 ) -> tuple[float, float]:
-    """Publish; give the seconds until all hold it, and until all load it."""
+    """Publish; return the seconds until all hold it and until all loaded it."""
     await declared.publish(fleet, weights)
     began = time.monotonic()
     held: list[float] = []
@@ -145,12 +146,12 @@
             for each in states
         )
 
-    await until(is_loaded, step=weights.version, timeout_s=LONGEST_S)
+    await until(is_loaded, step=weights.version, timeout_s=TIMEOUT_S)
     return held[0], time.monotonic() - began
 
 
 def _holds(status: Any, version: str) -> bool:
-    """Tell whether an agent holds every chunk, or has loaded them."""
+    """Return whether an agent holds every chunk, or has loaded them."""
     return bool(
         status
         and status['declared_version'] == version
@@ -159,29 +160,29 @@
 
 
 class _Load:
-    """Requests at a steady rate, whatever the answers take."""
+    """Sends requests at a constant rate, however long the answers take."""
 
     def __init__(self, fleet: Fleet) -> None:
         entry = fleet.entries[0].member
         url = f'http://{entry["address"]}:{entry["http_port"]}'
         self.caller = Caller(url, seed=1)
         self.times: list[tuple[float, float]] = []
-        self.ends = False
+        self.is_stopped = False
         self._number = 0
 
     async def run_for(self, seconds: float) -> None:
-        """Send until the time is up, and wait for the answers."""
+        """Send for a time or until stopped, then wait for the answers."""
         ends_at = time.monotonic() + seconds
         calls = []
-        while time.monotonic() < ends_at and not self.ends:
+        while time.monotonic() < ends_at and not self.is_stopped:
             calls.append(asyncio.create_task(self._call()))
             await asyncio.sleep(1 / REQUESTS_PER_S)
         await asyncio.gather(*calls)
 
     def tail(self, until: float = math.inf) -> float:
-        """Give the 95th percentile of the times to the whole answer."""
+        """Return the 95th percentile of the times to the complete answer."""
         times = sorted(took for began, took in self.times if began < until)
-        return times[int(TAIL * len(times))]
+        return times[int(TAIL_QUANTILE * len(times))]
 
     def close(self) -> None:
         """Close the caller."""
@@ -204,7 +205,7 @@
 def show_all(show: Callable[[str, float | str], None]) -> None:
     """Run both fleets and print the figures."""
     show('weights.processes.bound_s', BOUND_S)
-    for agents in (AGENTS, FEW_AGENTS):
+    for agents in (AGENTS, SMALL_FLEET_AGENTS):
         _show(show, f'weights.processes.{agents}', measure(agents))
 
 
@@ -222,7 +223,7 @@
     show(f'{name}.live_latency_ratio', figures.burst_p95_s / calm)
     show(f'{name}.live_ratio_of_transfer', figures.transfer_p95_s / calm)
     show(f'{name}.answers', figures.answers)
-    show(f'{name}.whole_answers', figures.whole)
-    # The name that the goal has: the machine carries the fewer agents.
-    if name.endswith(f'.{FEW_AGENTS}'):
+    show(f'{name}.whole_answers', figures.complete_answers)
+    # The goal's key: only the small fleet fits on one machine.
+    if name.endswith(f'.{SMALL_FLEET_AGENTS}'):
         show('weights.live_latency_ratio', figures.burst_p95_s / calm)
--- a/measure/_weights_trees.py
+++ b/measure/_weights_trees.py
@@ -1,4 +1,4 @@
-"""What other ways of spreading a version take, over the same links."""
+"""Baselines: other ways of distributing a version over the same links."""
 
 from __future__ import annotations
 
@@ -12,35 +12,37 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-READS = 4
+CONCURRENT_READS = 4
 
 
 def all_from_origin(hosts: int, chunks: int) -> float:
-    """Every host reads every chunk from the origin; time over the bound.
+    """Return the time over the bound if hosts read only from the origin.
 
-    The origin's link is always busy, so the time is that of all bytes.
+    The origin's link is always busy, so it is the time to send all bytes.
     """
     return hosts * ORIGIN_CHUNK_US / CHUNK_US
 
 
 def one_tree(hosts: int, chunks: int, *, width: int) -> float:
-    """One fixed tree, the same for all chunks; time over the bound."""
-    return _Push(hosts, chunks, width, lambda _: list(range(hosts))).run()
+    """Return the time over the bound with one tree for all chunks."""
+    return _PushSimulation(
+        hosts, chunks, width, lambda _: list(range(hosts))
+    ).run()
 
 
 def tree_per_chunk(hosts: int, chunks: int, *, width: int) -> float:
-    """Give each chunk a tree of its own, with the hosts in random order."""
+    """Return the time over the bound with a random tree for each chunk."""
 
     def order(chunk: int) -> list[int]:
         shuffled = list(range(hosts))
         random.Random(chunk).shuffle(shuffled)
         return shuffled
 
-    return _Push(hosts, chunks, width, order).run()
+    return _PushSimulation(hosts, chunks, width, order).run()
 
 
-class _Push:
-    """Each host pushes a chunk to its children in the chunk's tree."""
+class _PushSimulation:
+    """Simulates hosts that push each chunk to their children in its tree."""
 
     def __init__(
         self,
@@ -59,23 +61,23 @@
         self._last = 0
 
     def run(self) -> float:
-        """Push everything; give the time over the bound."""
-        for chunk in range(min(READS, self._chunks)):
+        """Push all chunks; return the time over the bound."""
+        for chunk in range(min(CONCURRENT_READS, self._chunks)):
             self._read(chunk)
         while self._clock.step():
             self._last = self._clock.now
         return self._last / (self._chunks * CHUNK_US)
 
     def _read(self, chunk: int) -> None:
-        """Let the tree's root read; the next read follows its end."""
-        self._origin.send(_ignore, partial(self._on_root, chunk))
+        """Read a chunk at the root of its tree; its end starts the next read."""
+        self._origin.send(_ignore, partial(self._on_root_read, chunk))
 
-    def _on_root(self, chunk: int, began: int) -> None:
-        if chunk + READS < self._chunks:
-            self._read(chunk + READS)
-        self._arrive(chunk, 0, began)
+    def _on_root_read(self, chunk: int, began: int) -> None:
+        if chunk + CONCURRENT_READS < self._chunks:
+            self._read(chunk + CONCURRENT_READS)
+        self._receive(chunk, 0, began)
 
-    def _arrive(self, chunk: int, rank: int, began: int) -> None:
+    def _receive(self, chunk: int, rank: int, began: int) -> None:
         down = self._down[self._orders[chunk][rank]]
         _, end = down.reserve(began + DOMAIN_US, CHUNK_US)
         self._clock.at(end, partial(self._push, chunk, rank))
@@ -86,8 +88,8 @@
         last = min(first + self._width, len(self._up))
         for child in range(first, last):
             begin, _ = up.reserve(self._clock.now, CHUNK_US)
-            self._clock.at(begin, partial(self._arrive, chunk, child, begin))
+            self._clock.at(begin, partial(self._receive, chunk, child, begin))
 
 
 def _ignore() -> None:
-    """Take no note of the slices."""
+    """Ignore the progress of a chunk."""
--- a/measure/weights.py
+++ b/measure/weights.py
@@ -1,9 +1,9 @@
-"""Weights: time to N hosts, copies off the origin, and what the work costs.
+"""Weights: time to load on N hosts, copies read from the origin, planning cost.
 
-The unit of time is the bound T/2, in which one copy passes over a machine's
-link. A version has 256 chunks, hosts stand in 2 regions with 3 failure domains
-each, links are full duplex unless a line says otherwise, and the origin's link
-carries what two machines' links do.
+The unit of time is the bound T/2, in which a host's link carries one copy. A
+version has 256 chunks, hosts are spread over 2 regions with 3 failure domains
+each, links are full duplex unless stated otherwise, and the origin's link has
+the rate of two hosts' links.
 """
 
 from __future__ import annotations
@@ -43,16 +43,16 @@
 SIZES = (8, 32, 128)
 TREE_WIDTH = 2
 HALF_DUPLEX_SIZES = (8, 32)
-COPIES_AT = 32
+COPIES_HOSTS = 32
 MAX_COPIES = 4
 DEAD_SHARE = 1 / 3
 CORRUPTED_SHARE = 0.01
 DESIGN_HOSTS = 1800
-PLANS = 2000
+PLANNING_STEPS = 2000
 
 
 def run(show: Show) -> None:
-    """Measure everything; about three minutes."""
+    """Run all measurements; takes about three minutes."""
     show('weights.chunks', CHUNKS)
     for hosts in SIZES:
         _without_faults(show, hosts)
@@ -84,7 +84,7 @@
 
 
 def _with_faults(show: Show, hosts: int) -> None:
-    """Kill a third in the middle, and corrupt one chunk in a hundred."""
+    """Kill a third of the hosts midway, and corrupt 1 % of the chunks."""
     scene = Scene(
         hosts=hosts,
         chunks=CHUNKS,
@@ -98,9 +98,9 @@
 
 
 def _half_duplex(show: Show, hosts: int) -> None:
-    """Hold half-duplex links against T/2 and against their own bound.
+    """Compare half-duplex links with T/2 and with their own bound.
 
-    N hosts take N copies and send N - 1, over N links.
+    N hosts receive N copies and send N - 1, over N links.
     """
     fleet = Fleet(Scene(hosts=hosts, chunks=CHUNKS, half_duplex=True))
     fleet.run()
@@ -112,27 +112,27 @@
 
 def _further_copies(show: Show) -> None:
     for copies in range(1, MAX_COPIES + 1):
-        fleet = Fleet(Scene(hosts=COPIES_AT, chunks=CHUNKS, copies=copies))
+        fleet = Fleet(Scene(hosts=COPIES_HOSTS, chunks=CHUNKS, copies=copies))
         fleet.run()
         name = f'weights.declared_copies.{copies}'
-        show(f'{name}.time_over_bound.{COPIES_AT}', fleet.time_over_bound)
-        show(f'{name}.origin_copies.{COPIES_AT}', fleet.origin_copies)
+        show(f'{name}.time_over_bound.{COPIES_HOSTS}', fleet.time_over_bound)
+        show(f'{name}.origin_copies.{COPIES_HOSTS}', fleet.origin_copies)
 
 
 def _cost_of_planning(show: Show) -> None:
-    """Give one host of 1,800 its members, answers of peers and chunks."""
+    """Measure planning on one of 1,800 hosts: host list, answers, chunks."""
     tracemalloc.start()
-    transfer, hosts_s = _one_of_many()
+    transfer, hosts_s = _start_one_transfer()
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     show('weights.planner.hosts_change_ms.1800', hosts_s * 1000)
     show('weights.planner.memory_mb.1800', peak / 1e6)
-    chunk_s = _plan_for_ever(transfer) / PLANS
+    chunk_s = _plan_repeatedly(transfer) / PLANNING_STEPS
     show('weights.planner.us_per_chunk.1800', chunk_s * MICROS)
     show('weights.planner.share_of_core.1800', chunk_s * MICROS / CHUNK_US)
 
 
-def _one_of_many() -> tuple[Transfer, float]:
+def _start_one_transfer() -> tuple[Transfer, float]:
     manifest, _ = make_version('v1', CHUNKS, 7)
     store = ChunkStore(manifest.size)
     store.want([manifest])
@@ -150,12 +150,12 @@
     return transfer, time.process_time() - began
 
 
-def _plan_for_ever(transfer: Transfer) -> float:
-    """Ask, hear and plan once a chunk; give the processor time."""
+def _plan_repeatedly(transfer: Transfer) -> float:
+    """Query, receive and plan once per chunk; return the processor time."""
     rng = random.Random(2)
     chunk_s = CHUNK_US / MICROS
     began = time.process_time()
-    for step in range(PLANS):
+    for step in range(PLANNING_STEPS):
         now = step * chunk_s
         for host in transfer.peers_to_query(now=now):
             chunks = rng.getrandbits(CHUNKS) & full(CHUNKS)
--- a/measure/weights_choices.py
+++ b/measure/weights_choices.py
@@ -1,7 +1,7 @@
-"""The other ways that were weighed for weights, over the same links.
+"""Alternatives considered for the transfer of weights, over the same links.
 
-Run by name only. Each figure is the time over the bound T/2; one value differs
-from the shipped ones at a time. `docs/decisions` draws on it.
+Runs only when named. Each figure is the time over the bound T/2, with one value
+changed from the shipped ones at a time. `docs/decisions` uses the figures.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def run(show: Show) -> None:
-    """Measure each way; about a minute and a half."""
+    """Measure each alternative; takes about a minute and a half."""
     _time(show, 'shipped')
     for order in ChunkOrder:
         _time(show, f'order.{order.value}', order=order)
--- a/measure/weights_returns.py
+++ b/measure/weights_returns.py
@@ -1,7 +1,7 @@
-"""A version whose origin leaves before the first copy is out, and returns.
+"""A version whose origin fails before the first copy is read, and recovers.
 
-Hosts on slow links tell what they hold to a few others at a time. What is cut
-off as the origin leaves counts as sent, and is lost.
+Hosts on slow links send their inventories to a few others at a time. Chunks in
+flight when the origin fails count as sent, but are lost.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from _weights_fleet import Host, Links, Scene
 from _weights_links import MICROS
-from weights_window import NOTICE_US, _Window
+from weights_window import MANIFEST_DELAY_US, WindowFleet
 
 from crowrudder_core.membership import sample_ips
 from crowrudder_core.transfer import FromOrigin
@@ -37,48 +37,51 @@
     sent_us=86_000,
     origin_us=44_000,
     tick_us=50_000,
-    news_us=80_000,
+    inventory_interval_us=80_000,
     slots=3,
     regions=3,
     domains=1,
 )
 """Chunks of 32 KiB on 3.8 Mbit/s, an origin of 5.9 Mbit/s: a copy takes 4.4 s
-on a host's link, and 2.8 s to leave the origin."""
+on a host's link, and 2.8 s on the origin's."""
 
-LEAVES_S = 2.5
-RETURNS_S = 8.5
+ORIGIN_FAILS_S = 2.5
+ORIGIN_RECOVERS_S = 8.5
 WINDOW_S = 10.3
-"""Time after which nothing may begin on the version before."""
+"""Time after which no request may start on the previous version."""
 
-TELL_US = 2000
+INVENTORY_DELAY_US = 2000
 
 
-class Returns(_Window):
-    """A fleet whose origin goes away for a while."""
+class OriginOutageFleet(WindowFleet):
+    """A fleet whose origin fails and recovers."""
 
-    def leave(self) -> None:
-        """Cut all reads of the origin off."""
+    def stop_origin(self) -> None:
+        """Stop the origin and fail all reads in flight from it."""
         self.origin_up = False
         self.origin.drop_all()
         for host in self.hosts.values():
             for read in list(host.transfer.in_flight):
                 if isinstance(read, FromOrigin):
-                    self._failed(host, read)
+                    self._on_failed(host, read)
 
-    def come_back(self) -> None:
-        """Let the origin answer again."""
+    def restart_origin(self) -> None:
+        """Make the origin answer again."""
         self.origin_up = True
 
-    def _tell(self, host: Host) -> None:
-        """Let a host tell as many others as an agent does."""
+    def _send_inventory(self, host: Host) -> None:
+        """Send a host's inventory to as many peers as an agent does."""
         if not host.frozen:
-            stock = host.stock()
-            for other in self._told_by(host):
-                self._after(TELL_US, partial(self._heard, other, stock))
-        next_at = self.clock.now + self.scene.links.news_us
-        self.clock.at(next_at, partial(self._tell, host))
-
-    def _told_by(self, host: Host) -> list[Host]:
+            inventory = host.inventory()
+            for other in self._receivers_of(host):
+                self._after(
+                    INVENTORY_DELAY_US,
+                    partial(self._on_inventory, other, inventory),
+                )
+        next_at = self.clock.now + self.scene.links.inventory_interval_us
+        self.clock.at(next_at, partial(self._send_inventory, host))
+
+    def _receivers_of(self, host: Host) -> list[Host]:
         others = [each for each in self.hosts.values() if each is not host]
         region = host.place.region
         near = [each.name for each in others if each.place.region == region]
@@ -91,21 +94,21 @@
         )
         return [self.hosts[name] for name in chosen]
 
-    def _arrive(
+    def _schedule_arrival(
         self,
         host: Host,
         read: Read,
         began: int,
-        way: int,
-        stock: PeerInventory | None,
+        latency_us: int,
+        inventory: PeerInventory | None,
     ) -> None:
-        is_cut = isinstance(read, FromOrigin) and not self.origin_up
-        if not is_cut:
-            super()._arrive(host, read, began, way, stock)
+        is_aborted = isinstance(read, FromOrigin) and not self.origin_up
+        if not is_aborted:
+            super()._schedule_arrival(host, read, began, latency_us, inventory)
 
 
-def play(seed: int, hosts: int, **changes: Any) -> Returns:
-    """Spread a version whose origin goes away and returns."""
+def play(seed: int, hosts: int, **changes: Any) -> OriginOutageFleet:
+    """Distribute a version whose origin fails and recovers."""
     scene = Scene(
         hosts=hosts,
         chunks=64,
@@ -113,25 +116,25 @@
         changes={**TRANSFER_PACING, **changes},
         links=LINKS,
     )
-    fleet = Returns(scene)
-    fleet.want_parts()
+    fleet = OriginOutageFleet(scene)
+    fleet.prefer_layer_ranges()
     rng = random.Random(seed)
     for host in fleet.hosts.values():
-        fleet.hold_back(host, rng.randint(*NOTICE_US))
-    fleet.look()
-    fleet.clock.at(int(LEAVES_S * MICROS), fleet.leave)
-    fleet.clock.at(int(RETURNS_S * MICROS), fleet.come_back)
+        fleet.pause_until(host, rng.randint(*MANIFEST_DELAY_US))
+    fleet.record_progress()
+    fleet.clock.at(int(ORIGIN_FAILS_S * MICROS), fleet.stop_origin)
+    fleet.clock.at(int(ORIGIN_RECOVERS_S * MICROS), fleet.restart_origin)
     fleet.run(until_us=25 * MICROS)
     return fleet
 
 
 def run(show: Show) -> None:
-    """Show the times by the number of hosts, the mean of the seeds."""
+    """Print the mean times over the seeds for each number of hosts."""
     for hosts in SIZES:
         fleets = [play(seed, hosts) for seed in SEEDS]
-        start = f'returns.{hosts}'
-        show(f'{start}.out_s', fmean(each.out_s for each in fleets))
+        prefix = f'returns.{hosts}'
+        show(f'{prefix}.out_s', fmean(each.out_s for each in fleets))
         for part, at in (('first', 0), ('half', hosts // 2), ('last', -1)):
-            held = fmean(each.held_at()[at] for each in fleets)
-            show(f'{start}.{part}_s', held)
-        show(f'{start}.copies', fmean(each.origin_copies for each in fleets))
+            held = fmean(each.completion_times()[at] for each in fleets)
+            show(f'{prefix}.{part}_s', held)
+        show(f'{prefix}.copies', fmean(each.origin_copies for each in fleets))
