--- a/measure/weights_window.py
+++ b/measure/weights_window.py
@@ -46,7 +46,8 @@
 of 9.9 Mbit/s: in such a fleet the window of 8 s is 1.8 times a copy's time."""
 
 MANIFEST_DELAY_US = (150_000, 350_000)
-"""From a version's publication until a host has its manifest."""
+"""From a version's publication until a host has its manifest, as seen in runs of
+fleets."""
 
 ORIGIN_FAILS_US = 2_500_000
 DEFAULT_CHANGES: dict[str, Any] = {
