--- a/measure/_route_fleet.py
+++ b/measure/_route_fleet.py
@@ -17,7 +17,7 @@
 from crowrudder_daemon.agent._run_messages import ResumeRuns
 from crowrudder_daemon.agent._run_service import RunService
 from crowrudder_daemon.agent._runs import RunsTask
-from crowrudder_daemon.entry._links import AgentLost, ReportReceived
+from crowrudder_daemon.entry._report_streams import AgentLost, ReportReceived
 from crowrudder_daemon.entry._requests import RequestsTask, SnapshotReceived
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_daemon.process import Runtime
--- a/measure/route.py
+++ b/measure/route.py
@@ -27,7 +27,7 @@
     CallHead,
     CompletionBody,
 )
-from crowrudder_daemon.entry._parts import Ended
+from crowrudder_daemon.entry._final_outcome import FinalOutcome
 from crowrudder_daemon.entry._requests import RequestReceived
 from crowrudder_model import Outcome
 from crowrudder_model.declared import Customer
@@ -134,7 +134,7 @@
         self.fleet.rng.choice(self.fleet.entries).post(
             RequestReceived(req, events)
         )
-        while not isinstance(event := await events.get(), Ended):
+        while not isinstance(event := await events.get(), FinalOutcome):
             first_s = first_s or loop.time() - began
         self.done.append(
             Sent(
--- a/measure/weights_window.py
+++ b/measure/weights_window.py
@@ -118,7 +118,7 @@
         count = layer_range_count(len(parts))
         for name, host in self.hosts.items():
             layers = layers_of_range(parts[name], count, LAYERS)
-            host.transfer.first = chunks_of_layers(
+            host.transfer.preferred = chunks_of_layers(
                 layers, layers=LAYERS, chunks=self.scene.chunks
             )
 
@@ -127,7 +127,7 @@
         ready = [
             host.place.region
             for host in self.hosts.values()
-            if not host.transfer.first & ~host.transfer.held
+            if not host.transfer.preferred & ~host.transfer.held
         ]
         return len(ready) == len(self.hosts)
 
--- a/packages/core/src/crowrudder_core/limits/_stated_limits.py
+++ b/packages/core/src/crowrudder_core/limits/_stated_limits.py
@@ -50,7 +50,7 @@
 
 
 @define
-class NamedLimits:
+class StatedLimits:
     """The limits that upstreams stated to this entry or to others.
 
     Parameters
--- a/packages/core/src/crowrudder_core/membership/_roster.py
+++ b/packages/core/src/crowrudder_core/membership/_roster.py
@@ -88,7 +88,10 @@
             return False
         last_seen_at = now - max(last_seen.age_ms, 0) / _MS
         known = self._others.get(last_seen.ip)
-        if known is None or incarnation_hash(known.status) != last_seen.life:
+        if (
+            known is None
+            or incarnation_hash(known.status) != last_seen.incarnation_hash
+        ):
             is_later = known is None or last_seen_at > known.last_seen_at
             return is_later and now - last_seen_at <= self._liveness_timeout_s
         if last_seen_at > known.last_seen_at:
@@ -173,7 +176,7 @@
     status = record.status
     return LastSeen(
         ip=status.ip,
-        life=incarnation_hash(status),
+        incarnation_hash=incarnation_hash(status),
         age_ms=int(max(now - record.last_seen_at, 0) * _MS),
         ready=status.ready,
         leaving=status.leaving,
--- a/packages/core/src/crowrudder_core/quarantine/_quarantine.py
+++ b/packages/core/src/crowrudder_core/quarantine/_quarantine.py
@@ -40,7 +40,7 @@
 class SendSuspicion:
     """Send a suspicion report on a request to other entries."""
 
-    word: SuspicionReport
+    report: SuspicionReport
     audience: Audience
 
 
@@ -132,7 +132,7 @@
     def on_update(self, update: SuspicionUpdate, *, now: float) -> list[Effect]:
         """Apply another entry's reports; forward those that change a weight."""
         effects: list[Effect] = []
-        for report in update.words[:MAX_REPORTS]:
+        for report in update.reports[:MAX_REPORTS]:
             suspect = self._ledger.get_or_create(report.digest, now=now)
             reported = Suspect()
             reported.on_report(report, now=now)
--- a/packages/core/src/crowrudder_core/quarantine/_suspect.py
+++ b/packages/core/src/crowrudder_core/quarantine/_suspect.py
@@ -113,7 +113,7 @@
         for received in report.ends[:MAX_ENDS]:
             if 0 <= received.ended_ms <= QUARANTINE_S * _MS:
                 end = End(now - received.ended_ms / _MS, received.is_fresh)
-                self.on_end(received.life[:MAX_INCARNATION_CHARS], end)
+                self.on_end(received.incarnation[:MAX_INCARNATION_CHARS], end)
         if report.completed_ms >= 0:
             self.on_run_completed(now - report.completed_ms / _MS)
         return self.weight != before
--- a/packages/core/src/crowrudder_core/requests/_owner.py
+++ b/packages/core/src/crowrudder_core/requests/_owner.py
@@ -90,12 +90,12 @@
         self.attempt_states[key] = _AttemptState.GRANTED
         return True
 
-    def refused(self, key: AttemptKey) -> RetryElsewhere:
+    def on_refused(self, key: AttemptKey) -> RetryElsewhere:
         """Record that an agent refused the attempt, which never starts."""
         self.attempt_states[key] = _AttemptState.ENDED
         return RetryElsewhere(key)
 
-    def lost(self, key: AttemptKey) -> Settle | RetryElsewhere:
+    def on_lost(self, key: AttemptKey) -> Settle | RetryElsewhere:
         """Record that the connection of an attempt was lost."""
         if self.attempt_states[key] is _AttemptState.GRANTED:
             self.attempt_states[key] = _AttemptState.LOST
@@ -103,7 +103,7 @@
         self.attempt_states[key] = _AttemptState.ENDED
         return RetryElsewhere(key)
 
-    def settled(
+    def on_settled(
         self,
         key: AttemptKey,
         state: SettledState,
@@ -111,7 +111,7 @@
         """Apply the agent's binding answer, or that its incarnation is gone."""
         match state:
             case SettledState.NEVER_STARTS:
-                return self.refused(key)
+                return self.on_refused(key)
             case SettledState.ATTACHED:
                 self.attempt_states[key] = _AttemptState.GRANTED
                 return Attach(key)
@@ -122,7 +122,7 @@
         """Record that no agent can settle the attempt any more."""
         return self._on_agent_gone(key)
 
-    def ended(self, key: AttemptKey, outcome: Outcome) -> None:
+    def on_ended(self, key: AttemptKey, outcome: Outcome) -> None:
         """Record the final message of an attempt."""
         self.attempt_states[key] = _AttemptState.ENDED
         if outcome is not Outcome.NOT_RUN:
@@ -166,7 +166,7 @@
         if not self.idempotent:
             return Outcome.UNKNOWN
         self._record_run(Outcome.UNKNOWN)
-        return self.refused(key)
+        return self.on_refused(key)
 
     def _record_run(self, outcome: Outcome) -> None:
         """Record the outcome of a run; unknown takes precedence over failed."""
--- a/packages/core/src/crowrudder_core/transfer/_hosts.py
+++ b/packages/core/src/crowrudder_core/transfer/_hosts.py
@@ -72,7 +72,7 @@
             self._ranks[version] = ranked(version, self.places).index(self.host)
         return self._ranks[version]
 
-    def part(self, version: str) -> int:
+    def layer_range(self, version: str) -> int:
         """Return the number of the layer range to collect first."""
         if version not in self._layer_range_numbers:
             self._layer_range_numbers[version] = assign_layer_ranges(
--- a/packages/core/src/crowrudder_core/transfer/_transfer.py
+++ b/packages/core/src/crowrudder_core/transfer/_transfer.py
@@ -79,7 +79,7 @@
 
     Attributes
     ----------
-    first
+    preferred
         Chunks (bits) to read before the others.
     yields_to
         A transfer with priority on this host's link: until it is complete,
@@ -96,7 +96,7 @@
     manifest_digest: str = ''
     dropped: bool = field(default=False, init=False)
     held: int = field(default=0, init=False)
-    first: int = field(default=0, init=False)
+    preferred: int = field(default=0, init=False)
     yields_to: Transfer | None = field(default=None, init=False, repr=False)
     peers: PeerTable = field(init=False)
     origin: OriginReader = field(init=False)
@@ -400,7 +400,7 @@
             missing=missing,
             importable=assignments.importable,
             from_origin=assignments.from_origin,
-            preferred=self.first,
+            preferred=self.preferred,
             primary=assignments.primary,
             assigned_reason=self.peers.assigned_reason,
         )
--- a/packages/daemon/src/crowrudder_daemon/agent/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/_role.py
@@ -114,12 +114,12 @@
     def readiness(self) -> list[str]:
         """Return the reasons why this agent can't serve; empty when ready."""
         reasons = []
-        if self.knowledge.hinders:
-            reasons.append(self.knowledge.hinders)
+        if self.knowledge.blocking_reason:
+            reasons.append(self.knowledge.blocking_reason)
         if self.knowledge.snapshot.bundle is None:
             reasons.append('no configuration was accepted yet')
-        if self.weights is not None and self.weights.hinders:
-            reasons.append(self.weights.hinders)
+        if self.weights is not None and self.weights.blocking_reason:
+            reasons.append(self.weights.blocking_reason)
         if not self.runs.state.version:
             reasons.append('the upstream has nothing loaded')
         if self.runs.state.leaving:
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_loading.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_loading.py
@@ -44,14 +44,14 @@
         orders: EngineOrderer,
         runs: RunsTask,
         peers: PeerSource,
-        note: EngineStatus,
+        engine_status: EngineStatus,
         on_progress: Callable[[str], None],
     ) -> None:
         self._engine = engine
         self._orders = orders
         self._runs = runs
         self._peers = peers
-        self._engine_status = note
+        self._engine_status = engine_status
         self._set_blocking_reason = on_progress
 
     async def load(
--- a/packages/daemon/src/crowrudder_daemon/agent/weights/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/agent/weights/_task.py
@@ -95,7 +95,7 @@
             orders=self._orders,
             runs=runs,
             peers=self._peers,
-            note=self._engine_status,
+            engine_status=self._engine_status,
             on_progress=self._set_blocking_reason,
         )
         self._service = ChunkService(
@@ -116,7 +116,7 @@
         self.spawn(self._report_live_load())
 
     @property
-    def hinders(self) -> str:
+    def blocking_reason(self) -> str:
         """Why the engine lacks the declared version; empty if it has it."""
         if self._active_transfer is None:
             return self._blocking_reason
--- a/packages/daemon/src/crowrudder_daemon/chunks/_stock.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_stock.py
@@ -67,7 +67,7 @@
     transfer: Transfer | None,
     *,
     slots: UploadSlots,
-    note: EngineStatus,
+    engine_status: EngineStatus,
 ) -> InventoryReply:
     """Return this host's inventory of a version."""
     held = passes = b''
@@ -78,10 +78,10 @@
         host=host,
         version=version,
         chunks=held,
-        loaded=note.loaded,
+        loaded=engine_status.loaded,
         busy=slots.taken,
         slots=slots.total,
-        changing=note.changing,
+        changing=engine_status.changing,
         passes=passes,
-        wants=version in note.wanted,
+        wants=version in engine_status.wanted,
     )
--- a/packages/daemon/src/crowrudder_daemon/chunks/_uploads.py
+++ b/packages/daemon/src/crowrudder_daemon/chunks/_uploads.py
@@ -131,7 +131,7 @@
             version,
             transfer,
             slots=self._slots,
-            note=self._engine_status,
+            engine_status=self._engine_status,
         )
 
 
--- a/packages/daemon/src/crowrudder_daemon/entry/_admission.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_admission.py
@@ -8,7 +8,7 @@
 
 from crowrudder_core.limits import ConcurrencyShares, TokenBucket
 from crowrudder_core.requests import CLAIM_RETENTION_S
-from crowrudder_daemon.entry._parts import Ended, refused
+from crowrudder_daemon.entry._final_outcome import FinalOutcome, refused
 
 if TYPE_CHECKING:
     from crowrudder_daemon.entry._caller_request import CallerRequest
@@ -36,7 +36,7 @@
         snapshot: Snapshot,
         *,
         now: float,
-    ) -> CallerRequest | Ended:
+    ) -> CallerRequest | FinalOutcome:
         """Admit a request with its permitted priority, or refuse it."""
         head = req.head
         bundle = snapshot.bundle
@@ -83,7 +83,9 @@
             if until > now
         }
 
-    def _over_limit(self, customer: Customer, now: float) -> Ended | None:
+    def _over_limit(
+        self, customer: Customer, now: float
+    ) -> FinalOutcome | None:
         bucket = self._buckets.get(customer)
         if bucket is None:
             bucket = TokenBucket(
--- a/packages/daemon/src/crowrudder_daemon/entry/_answer_bodies.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_answer_bodies.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from crowrudder_daemon.entry._parts import Ended
+from crowrudder_daemon.entry._final_outcome import FinalOutcome
 from crowrudder_model import Outcome
 from crowrudder_model.messages import Piece
 
@@ -19,7 +19,7 @@
     return b'event: token\ndata: ' + payload + b'\n\n'
 
 
-def final_event(ended: Ended, request_id: str) -> bytes:
+def final_event(ended: FinalOutcome, request_id: str) -> bytes:
     if ended.outcome is Outcome.ANSWERED:
         payload = msgspec.json.encode(
             {
--- a/packages/daemon/src/crowrudder_daemon/entry/_attempt_call.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_attempt_call.py
@@ -13,7 +13,7 @@
     RetryElsewhere,
     Settle,
 )
-from crowrudder_daemon.entry._parts import Ended
+from crowrudder_daemon.entry._final_outcome import FinalOutcome
 from crowrudder_model import Outcome, PeerLostError, UpstreamError
 from crowrudder_model.messages import (
     Attempt,
@@ -109,7 +109,7 @@
         """Seconds since the permit, or 0 before it."""
         return 0 if self._granted_at is None else _now() - self._granted_at
 
-    async def run(self) -> Ended | None:
+    async def run(self) -> FinalOutcome | None:
         """Run to the end; return None if another attempt is safe."""
         stream = self._peers.open(self.agent.address, RUN)
         try:
@@ -125,7 +125,7 @@
     async def _exchange(
         self,
         stream: PeerStream[RunClientMessage, RunServerMessage],
-    ) -> Ended | None:
+    ) -> FinalOutcome | None:
         attempt = self._request.attempt_message(self)
         try:
             async with asyncio.timeout(FIRST_MESSAGE_TIMEOUT_S):
@@ -147,7 +147,7 @@
         self,
         events: PeerStream[Any, RunServerMessage],
         permits: PeerStream[RunClientMessage, RunServerMessage] | None,
-    ) -> Ended | None:
+    ) -> FinalOutcome | None:
         async for event in events:
             self.progress_at = _now()
             match event.body:
@@ -183,15 +183,15 @@
         self._request.accept_piece(self, piece)
 
     def _refused(self, refusal: Refusal) -> None:
-        self._request.owner.refused(self.key)
+        self._request.owner.on_refused(self.key)
         self._request.record_refusal(self, refusal)
 
-    def _final(self, final: Final) -> Ended | None:
+    def _final(self, final: Final) -> FinalOutcome | None:
         match final.outcome:
             case Outcome.ANSWERED:
                 return self._answered(final)
             case Outcome.NOT_RUN:
-                self._request.owner.ended(self.key, Outcome.NOT_RUN)
+                self._request.owner.on_ended(self.key, Outcome.NOT_RUN)
                 refusal = Refusal(reason=final.message)
                 self._request.record_refusal(
                     self, refusal, is_free=final.is_unreached
@@ -200,14 +200,14 @@
             case outcome:
                 return self._failed(outcome, 'upstream_failed', final.message)
 
-    def _answered(self, final: Final) -> Ended:
+    def _answered(self, final: Final) -> FinalOutcome:
         is_own = final.request_id == self.key.request_id
         is_complete = final.pieces == self.next_index
         if not (is_own and is_complete and final.version == self.version):
             raise self._crossed_answer('the answer is not whole')
-        self._request.owner.ended(self.key, Outcome.ANSWERED)
+        self._request.owner.on_ended(self.key, Outcome.ANSWERED)
         self._request.record_outcome(self, failed=False)
-        return Ended(
+        return FinalOutcome(
             outcome=Outcome.ANSWERED,
             code='ok',
             status=final.status,
@@ -221,25 +221,25 @@
         outcome: Outcome,
         code: str,
         message: str,
-    ) -> Ended | None:
+    ) -> FinalOutcome | None:
         """End the attempt; an idempotent request may retry elsewhere."""
         owner = self._request.owner
-        owner.ended(self.key, outcome)
+        owner.on_ended(self.key, outcome)
         self._request.record_outcome(self, failed=True)
         if owner.idempotent:
             self._request.record_refusal(self, Refusal(reason=message))
             return None
-        return Ended(outcome=outcome, code=code, message=message)
+        return FinalOutcome(outcome=outcome, code=code, message=message)
 
-    async def _resolve_lost(self, exc: PeerLostError) -> Ended | None:
+    async def _resolve_lost(self, exc: PeerLostError) -> FinalOutcome | None:
         """Determine the outcome of an attempt whose stream broke."""
-        match self._request.owner.lost(self.key):
+        match self._request.owner.on_lost(self.key):
             case RetryElsewhere():
                 return None
             case Settle():
                 return await self._settle(exc)
 
-    async def _settle(self, exc: PeerLostError) -> Ended | None:
+    async def _settle(self, exc: PeerLostError) -> FinalOutcome | None:
         owner = self._request.owner
         timeout_s = (
             IDEMPOTENT_SETTLE_TIMEOUT_S
@@ -255,7 +255,7 @@
                 await asyncio.sleep(SETTLE_INTERVAL_S)
         return self._ended_unless_retry(owner.unreachable(self.key), str(exc))
 
-    async def _settle_once(self) -> Ended | None:
+    async def _settle_once(self) -> FinalOutcome | None:
         request = SettleRequest(
             key=self.key,
             incarnation=self.agent.incarnation,
@@ -264,7 +264,7 @@
         stream = self._peers.open(self.agent.address, SETTLE, request)
         try:
             state = await self._settled_state(stream)
-            match self._request.owner.settled(self.key, state):
+            match self._request.owner.on_settled(self.key, state):
                 case Attach():
                     return await self._follow(stream, None)
                 case decision:
@@ -289,12 +289,12 @@
 
     def _ended_unless_retry(
         self, decision: RetryElsewhere | Outcome, message: str
-    ) -> Ended | None:
+    ) -> FinalOutcome | None:
         match decision:
             case RetryElsewhere():
                 return None
             case outcome:
-                return Ended(
+                return FinalOutcome(
                     outcome=outcome,
                     code='outcome_unknown',
                     message=message,
--- a/packages/daemon/src/crowrudder_daemon/entry/_execution_owner.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_execution_owner.py
@@ -10,7 +10,7 @@
     from crowrudder_daemon.entry._agents import AgentPool
     from crowrudder_daemon.entry._caller_request import CallerRequest
     from crowrudder_daemon.entry._claims import Claim
-    from crowrudder_daemon.entry._parts import Ended
+    from crowrudder_daemon.entry._final_outcome import FinalOutcome
     from crowrudder_daemon.knowledge import Snapshot
     from crowrudder_model.messages import CapacityRequest
 
@@ -42,5 +42,5 @@
     def release_id(self, request_id: str, claim: Claim | None) -> None:
         """Release an id that never ran, here and at its voters."""
 
-    def record_end(self, ended: Ended) -> None:
+    def record_end(self, ended: FinalOutcome) -> None:
         """Count a final outcome."""
--- a/packages/daemon/src/crowrudder_daemon/entry/_parts.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_final_outcome.py
@@ -15,7 +15,7 @@
 
 
 @frozen(kw_only=True)
-class Ended:
+class FinalOutcome:
     """The final outcome of a request; the caller gets exactly one."""
 
     outcome: Outcome
@@ -33,9 +33,9 @@
         return self.status or STATUSES[self.outcome]
 
 
-def refused(code: str, status: int, retry_after_s: float = 0) -> Ended:
+def refused(code: str, status: int, retry_after_s: float = 0) -> FinalOutcome:
     """Return the outcome of a request that did not run."""
-    return Ended(
+    return FinalOutcome(
         outcome=Outcome.NOT_RUN,
         code=code,
         message=code.replace('_', ' '),
@@ -44,6 +44,6 @@
     )
 
 
-def outcome_unknown(code: str, message: str) -> Ended:
+def outcome_unknown(code: str, message: str) -> FinalOutcome:
     """Return the outcome of a request that may have run."""
-    return Ended(outcome=Outcome.UNKNOWN, code=code, message=message)
+    return FinalOutcome(outcome=Outcome.UNKNOWN, code=code, message=message)
--- a/packages/daemon/src/crowrudder_daemon/entry/_handlers.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_handlers.py
@@ -25,7 +25,7 @@
     parse_completion,
     parse_head,
 )
-from crowrudder_daemon.entry._parts import Ended
+from crowrudder_daemon.entry._final_outcome import FinalOutcome
 from crowrudder_daemon.entry._requests import (
     CallerDisconnected,
     RequestReceived,
@@ -131,7 +131,7 @@
         self._answers = answers
         self._answers.begin()
         self._is_open = True
-        self._parts: asyncio.Queue[Piece | Ended] = asyncio.Queue()
+        self._parts: asyncio.Queue[Piece | FinalOutcome] = asyncio.Queue()
         self._request_id = answer_request_id(self.request.headers)
 
     def on_connection_close(self) -> None:
@@ -153,7 +153,7 @@
             self._refuse(_wrong_method(self.request.method))
             return
         self._finish_ended(
-            Ended(
+            FinalOutcome(
                 outcome=Outcome.UNKNOWN,
                 code='internal',
                 message='an error inside the entry',
@@ -190,7 +190,7 @@
 
     def _refuse(self, exc: BadRequestError) -> None:
         self._finish_ended(
-            Ended(
+            FinalOutcome(
                 outcome=Outcome.NOT_RUN,
                 code=exc.code,
                 message=str(exc),
@@ -198,7 +198,7 @@
             ),
         )
 
-    def _set_outcome(self, ended: Ended) -> None:
+    def _set_outcome(self, ended: FinalOutcome) -> None:
         self.set_status(ended.http_status)
         self.set_header('X-Outcome', ended.outcome.value)
         self.set_header('X-Request-Id', self._request_id)
@@ -208,7 +208,7 @@
             retry_s = math.ceil(min(ended.retry_after_s, 3600))
             self.set_header('Retry-After', str(max(retry_s, 1)))
 
-    def _finish_ended(self, ended: Ended) -> None:
+    def _finish_ended(self, ended: FinalOutcome) -> None:
         self._set_outcome(ended)
         self.finish(
             error_body(
@@ -219,11 +219,11 @@
             ),
         )
 
-    async def _collect(self) -> tuple[list[Piece], Ended]:
+    async def _collect(self) -> tuple[list[Piece], FinalOutcome]:
         pieces: list[Piece] = []
         while True:
             match await self._parts.get():
-                case Ended() as ended:
+                case FinalOutcome() as ended:
                     return pieces, ended
                 case piece:
                     pieces.append(piece)
@@ -276,7 +276,10 @@
 
     async def _stream(self) -> None:
         first = await self._parts.get()
-        if isinstance(first, Ended) and first.outcome is not Outcome.ANSWERED:
+        if (
+            isinstance(first, FinalOutcome)
+            and first.outcome is not Outcome.ANSWERED
+        ):
             self._finish_ended(first)
             return
         self.set_header('Content-Type', 'text/event-stream')
@@ -284,7 +287,7 @@
         self.set_header('X-Weight-Version', first.version)
         if self._requests.leaving:
             self.set_header('Connection', 'close')
-        part: Piece | Ended = first
+        part: Piece | FinalOutcome = first
         try:
             while isinstance(part, Piece):
                 self.write(token_event(part))
--- a/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_request_execution.py
@@ -12,7 +12,11 @@
 from crowrudder_daemon.entry._attempt_call import AttemptCall
 from crowrudder_daemon.entry._caller_request import with_payload
 from crowrudder_daemon.entry._claims import Claim, acquire_claim, select_voters
-from crowrudder_daemon.entry._parts import Ended, outcome_unknown, refused
+from crowrudder_daemon.entry._final_outcome import (
+    FinalOutcome,
+    outcome_unknown,
+    refused,
+)
 from crowrudder_model import CrowrudderError, Outcome, PeerLostError
 from crowrudder_model.messages import Attempt, Piece, Queued, Refusal
 
@@ -42,14 +46,16 @@
 
     req: CallerRequest
     owner: RequestOwner
-    parts: asyncio.Queue[Piece | Ended]
+    parts: asyncio.Queue[Piece | FinalOutcome]
     _owner_task: ExecutionOwner
     _peers: PeerClient
     next_index: int = 0
     version: str = ''
     claim: Claim | None = None
-    _calls: dict[asyncio.Task[Ended | None], AttemptCall] = field(factory=dict)
-    _ended: asyncio.Queue[asyncio.Task[Ended | None]] = field(
+    _calls: dict[asyncio.Task[FinalOutcome | None], AttemptCall] = field(
+        factory=dict
+    )
+    _ended: asyncio.Queue[asyncio.Task[FinalOutcome | None]] = field(
         factory=asyncio.Queue,
     )
     _second_search: asyncio.Task[None] | None = None
@@ -145,7 +151,7 @@
         self._free_retry = False
         self._owner_task.agents.on_failed(call.agent, exc)
 
-    async def _run_until_deadline(self) -> Ended:
+    async def _run_until_deadline(self) -> FinalOutcome:
         left_s = self.owner.deadline - _now()
         try:
             async with asyncio.timeout(max(left_s, 0)):
@@ -154,7 +160,7 @@
         except TimeoutError:
             return self._not_run('deadline_passed', 'the deadline passed')
 
-    async def _claim_id(self, left_s: float) -> Ended | None:
+    async def _claim_id(self, left_s: float) -> FinalOutcome | None:
         """Claim the id, so that it can't also run through another entry."""
         head = self.req.head
         if head.idempotent or head.id_generated:
@@ -180,7 +186,7 @@
             case _:
                 return refused('claim_out_of_reach', 503, 1)
 
-    async def _attempts(self) -> Ended:
+    async def _attempts(self) -> FinalOutcome:
         try:
             while True:
                 ended = await self._step()
@@ -191,7 +197,7 @@
                 self._second_search.cancel()
             self._cancel_others(None)
 
-    async def _step(self) -> Ended | None:
+    async def _step(self) -> FinalOutcome | None:
         """Start an attempt if none is open and wait for the next event."""
         if not self._calls:
             ended = await self._start_next()
@@ -210,7 +216,7 @@
         self._tried_hosts.add(call.agent.host)
         return job.result()
 
-    async def _start_next(self) -> Ended | None:
+    async def _start_next(self) -> FinalOutcome | None:
         """Start the first attempt, or another after all others have ended."""
         request = self._owner_task.capacity_request(self.req)
         for need in self._needs_by_preference():
@@ -327,13 +333,13 @@
                     self._owner_task.agents.cancel(call.agent, call.key)
                 )
 
-    def _finish(self, ended: Ended) -> None:
+    def _finish(self, ended: FinalOutcome) -> None:
         outcome = self._close(ended.outcome)
         match outcome:
             case ended.outcome:
                 pass
             case Outcome.FAILED:
-                ended = Ended(
+                ended = FinalOutcome(
                     outcome=outcome,
                     code='upstream_failed',
                     message=ended.message,
@@ -372,18 +378,18 @@
             return [need]
         return [evolve(need, avoid=need.avoid | self._abandoned_hosts), need]
 
-    def _no_agent(self) -> Ended:
+    def _no_agent(self) -> FinalOutcome:
         refusal = self._last_refusal
         if refusal is None:
             return self._not_run('no_replica', 'no replica can serve this now')
         return self._not_run('overloaded', refusal.reason)
 
-    def _not_run(self, code: str, message: str) -> Ended:
+    def _not_run(self, code: str, message: str) -> FinalOutcome:
         refusal = self._last_refusal
         waits = [call.queued_wait_s for call in self._calls.values()]
         if refusal is not None:
             waits.append(refusal.retry_after_s)
-        return Ended(
+        return FinalOutcome(
             outcome=Outcome.NOT_RUN,
             code=code,
             message=message,
--- a/packages/daemon/src/crowrudder_daemon/entry/_requests.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_requests.py
@@ -15,7 +15,7 @@
 from crowrudder_daemon.entry._admission import Admission
 from crowrudder_daemon.entry._agents import AgentPool
 from crowrudder_daemon.entry._claims import release_claim
-from crowrudder_daemon.entry._parts import Ended, refused
+from crowrudder_daemon.entry._final_outcome import FinalOutcome, refused
 from crowrudder_daemon.entry._request_execution import RequestExecution
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_model.messages import CapacityRequest
@@ -23,7 +23,10 @@
 if TYPE_CHECKING:
     from crowrudder_daemon.entry._caller_request import CallerRequest
     from crowrudder_daemon.entry._claims import Claim
-    from crowrudder_daemon.entry._links import AgentLost, ReportReceived
+    from crowrudder_daemon.entry._report_streams import (
+        AgentLost,
+        ReportReceived,
+    )
     from crowrudder_daemon.process import Runtime
     from crowrudder_daemon.rpc import PeerClient
     from crowrudder_model.declared import Service
@@ -47,14 +50,14 @@
     """A caller's request; its answer is put on the queue in parts."""
 
     req: CallerRequest
-    parts: asyncio.Queue[Piece | Ended]
+    parts: asyncio.Queue[Piece | FinalOutcome]
 
 
 @frozen
 class CallerDisconnected:
     """The caller's connection closed."""
 
-    parts: asyncio.Queue[Piece | Ended]
+    parts: asyncio.Queue[Piece | FinalOutcome]
 
 
 @frozen
@@ -111,7 +114,7 @@
         """Start a request, or refuse it immediately."""
         now = self._now()
         entered = self._enter(message.req, now)
-        if isinstance(entered, Ended):
+        if isinstance(entered, FinalOutcome):
             self.record_end(entered)
             message.parts.put_nowait(entered)
             return
@@ -185,7 +188,7 @@
         if claim is not None:
             self.spawn(release_claim(self._peers, claim))
 
-    def record_end(self, ended: Ended) -> None:
+    def record_end(self, ended: FinalOutcome) -> None:
         """Count a final outcome."""
         self._outcomes_counter.add(outcome=ended.outcome.value, code=ended.code)
 
@@ -221,12 +224,14 @@
         declaration = bundle.declaration
         return declaration.service_of_model(name) or declaration.service(name)
 
-    def _enter(self, req: CallerRequest, now: float) -> CallerRequest | Ended:
+    def _enter(
+        self, req: CallerRequest, now: float
+    ) -> CallerRequest | FinalOutcome:
         if self.leaving:
             return refused('draining', 503, 1)
         return self._admission.enter(req, self.snapshot, now=now)
 
-    def _on_done(self, parts: asyncio.Queue[Piece | Ended]) -> None:
+    def _on_done(self, parts: asyncio.Queue[Piece | FinalOutcome]) -> None:
         execution, _ = self._executions.pop(id(parts))
         self._admission.leave(execution.req.head.customer)
 
--- a/packages/daemon/src/crowrudder_daemon/entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/entry/_role.py
@@ -9,8 +9,8 @@
 
 from crowrudder_daemon._callers_port import CallersPort
 from crowrudder_daemon.entry._handlers import make_application
-from crowrudder_daemon.entry._links import ReportStreamsTask, links_of
 from crowrudder_daemon.entry._open_answers import OpenAnswers
+from crowrudder_daemon.entry._report_streams import ReportStreamsTask, links_of
 from crowrudder_daemon.entry._requests import RequestsTask, SnapshotReceived
 from crowrudder_daemon.entry._size_gate import SizeGate
 from crowrudder_daemon.knowledge import KnowledgeTask, Snapshot
@@ -108,8 +108,8 @@
     def readiness(self) -> list[str]:
         """Return the reasons why this entry can't serve; empty when ready."""
         reasons = []
-        if self.knowledge.hinders:
-            reasons.append(self.knowledge.hinders)
+        if self.knowledge.blocking_reason:
+            reasons.append(self.knowledge.blocking_reason)
         if self.knowledge.snapshot.bundle is None:
             reasons.append('no configuration was accepted yet')
         if self.requests.leaving:
--- a/packages/daemon/src/crowrudder_daemon/fleet/__init__.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/__init__.py
@@ -8,7 +8,7 @@
 from crowrudder_daemon.fleet._catalog_task import CatalogTask
 from crowrudder_daemon.fleet._peers_task import PeerListener, PeersTask
 from crowrudder_daemon.fleet._role import FleetRole
-from crowrudder_daemon.fleet._settings import settings_of
+from crowrudder_daemon.fleet._settings import process_settings
 from crowrudder_daemon.fleet._settings_watch import (
     SettingsSource,
     SettingsWatch,
@@ -23,5 +23,5 @@
     'SettingsSource',
     'SettingsWatch',
     'Tuning',
-    'settings_of',
+    'process_settings',
 )
--- a/packages/daemon/src/crowrudder_daemon/fleet/_peers_task.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_peers_task.py
@@ -278,7 +278,7 @@
     def _apply_heartbeat(self, heartbeat: Heartbeat, ip: str) -> None:
         now = clock_s()
         is_new = self._update_roster(heartbeat, now)
-        if heartbeat.word.role == 'agent':
+        if heartbeat.status.role == 'agent':
             self._on_agent(heartbeat, ip, now)
         if heartbeat.asks_for_reply or is_new:
             self._send({ip}, self._reply(to_isolated=heartbeat.is_alone))
@@ -293,15 +293,15 @@
         the seeds; if that counted, the seeds would send heartbeats to the whole
         fleet, and links between regions would be full even without load.
         """
-        if heartbeat.word.leaving:
+        if heartbeat.status.leaving:
             self._agents.pop(ip, None)
         elif not heartbeat.asks_for_reply:
             self._agents[ip] = now
 
     def _update_roster(self, heartbeat: Heartbeat, now: float) -> bool:
-        is_new = self.roster.on_status(heartbeat.word, 0, now=now)
+        is_new = self.roster.on_status(heartbeat.status, 0, now=now)
         for forwarded in heartbeat.others:
-            self.roster.on_status(forwarded.word, forwarded.age_s, now=now)
+            self.roster.on_status(forwarded.status, forwarded.age_s, now=now)
         unknown_ips = [
             last_seen.ip
             for last_seen in heartbeat.last_seen_entries
@@ -311,7 +311,7 @@
         if is_new:
             self._log.info(
                 'entry met',
-                extra={'step': 'membership', 'peer': heartbeat.word.ip},
+                extra={'step': 'membership', 'peer': heartbeat.status.ip},
             )
         return is_new
 
@@ -355,7 +355,7 @@
         self, *, isolated: bool = False, asks_for_reply: bool = False
     ) -> Heartbeat:
         return Heartbeat(
-            word=self.roster.own,
+            status=self.roster.own,
             revision=self._revision,
             confirmed_s=min(clock_s() - self._confirmed_at, 1.0e9),
             asks_for_reply=asks_for_reply or isolated,
--- a/packages/daemon/src/crowrudder_daemon/fleet/_settings.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet/_settings.py
@@ -20,7 +20,7 @@
 """Seconds between the end of a drain and the kill, for closing sockets."""
 
 
-def settings_of(node: Node, tuning: Tuning) -> Settings:
+def process_settings(node: Node, tuning: Tuning) -> Settings:
     """Return the settings for admin server, logs and drain of the process."""
     return Settings(
         process=ProcessSection(
--- a/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_agent/_library.py
@@ -170,7 +170,7 @@
         for name, transfer in self.versions.transfers.items():
             transfer.on_hosts(self._hosts.places)
             if not transfer.complete:
-                transfer.first = self.part(name, transfer).chunks
+                transfer.preferred = self.part(name, transfer).chunks
 
     def on_live_traffic(self, running: int) -> None:
         """Make the uplink yield to answers that are being streamed."""
@@ -273,7 +273,7 @@
         layers = figures.layers if figures else 0
         if not layers:
             return LayerPart()
-        number = self._hosts.part(version)
+        number = self._hosts.layer_range(version)
         held = layers_of_range(number, self._hosts.layer_range_count, layers)
         return LayerPart(
             layers=held,
@@ -324,7 +324,7 @@
         version = transfer.manifest.version
         self._changed.set()
         transfer.on_hosts(self._hosts.places)
-        transfer.first = self.part(version, transfer).chunks
+        transfer.preferred = self.part(version, transfer).chunks
         for ip, inventory in self._received.get(version, {}).items():
             if inventory.manifest == transfer.manifest_digest:
                 _apply_inventory(transfer, ip, inventory)
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_attempt.py
@@ -125,7 +125,7 @@
         if not self._upstreams.limits.take(upstream.id):
             return NotSent('its limit allows no more requests now')
         try:
-            conn = await self._upstreams.pool.take(
+            conn = await self._upstreams.pool.acquire(
                 upstream.address, timeout_s=CONNECT_S
             )
         except NotConnectedError as exc:
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_limits.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from crowrudder_core.limits import NamedLimits, senders_of
+from crowrudder_core.limits import StatedLimits, senders_of
 from crowrudder_core.membership import split_by_region
 from crowrudder_daemon._clock import clock_s
 from crowrudder_model.messages import LimitUpdate
@@ -42,7 +42,7 @@
         self._runtime = runtime
         self._peers = peers
         self._region_of = region_of
-        self._limits = NamedLimits(self._share_of)
+        self._limits = StatedLimits(self._share_of)
         self._shares: dict[str, tuple[float, float, float]] = {}
         self._diverted = runtime.metrics.counter(
             'upstream_limits_kept',
@@ -64,7 +64,7 @@
                 extra={'step': 'limit', 'peer': ip},
             )
             return
-        for report in update.words[:MAX_REPORTS_PER_DATAGRAM]:
+        for report in update.reports[:MAX_REPORTS_PER_DATAGRAM]:
             if self._limits.on_report(report, now=clock_s()) is not None:
                 self._log(report, ip)
                 self._peers.send_to_partners(LimitUpdate((report,)))
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_load_relay.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_load_relay.py
@@ -64,7 +64,7 @@
         """Forward a batch from another region to the entries of the own one."""
         near, _ = self._peers.entry_ips()
         self._peers.send(
-            replace(batch, pass_on=False),
+            replace(batch, forward=False),
             [ip for ip in near if ip != self._node.ip],
         )
 
@@ -116,5 +116,5 @@
         ages_ms=tuple(
             int((now - report.received_at) * _MS) for report in reports
         ),
-        pass_on=True,
+        forward=True,
     )
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_quarantine.py
@@ -113,7 +113,7 @@
             return
         self._ends.add()
         digests = [
-            digest_text(effect.word.digest)
+            digest_text(effect.report.digest)
             for effect in effects
             if isinstance(effect, SendSuspicion)
         ]
@@ -160,9 +160,9 @@
     def _apply(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case SendSuspicion(word=report, audience=Audience.PARTNERS):
+                case SendSuspicion(report=report, audience=Audience.PARTNERS):
                     self._peers.send_to_partners(SuspicionUpdate((report,)))
-                case SendSuspicion(word=report):
+                case SendSuspicion(report=report):
                     ips = owners(report.digest, self._entry_ips())
                     self._send([report], self._without_own(ips))
                 case Quarantined(digest=digest, lives=incarnation_ids):
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_role.py
@@ -170,7 +170,7 @@
     def loads_received(self, batch: LoadBatch) -> None:
         """Apply load reports of another region and forward them in this one."""
         self.upstreams.on_loads(batch)
-        if batch.pass_on:
+        if batch.forward:
             self._relay.forward(batch)
 
     def suspects_received(self, ip: str, update: SuspicionUpdate) -> None:
--- a/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstream_probe.py
+++ b/packages/daemon/src/crowrudder_daemon/fleet_entry/_upstream_probe.py
@@ -45,8 +45,8 @@
 
     async def _probe(self, upstream: Upstream) -> None:
         try:
-            conn = await self._pool.take(
-                upstream.address, timeout_s=PROBE_TIMEOUT_S, fresh=True
+            conn = await self._pool.acquire(
+                upstream.address, timeout_s=PROBE_TIMEOUT_S, force_new=True
             )
         except NotConnectedError as exc:
             if exc.is_refused:
--- a/packages/daemon/src/crowrudder_daemon/http/_pool.py
+++ b/packages/daemon/src/crowrudder_daemon/http/_pool.py
@@ -41,12 +41,12 @@
         self._idle: dict[str, list[HttpConnection]] = {}
         self._on_open = on_open
 
-    async def take(
+    async def acquire(
         self,
         address: str,
         *,
         timeout_s: float,
-        fresh: bool = False,
+        force_new: bool = False,
     ) -> HttpConnection:
         """Return an idle connection, or open one.
 
@@ -55,7 +55,7 @@
         NotConnectedError
             When none could be opened in time.
         """
-        kept = None if fresh else self._take_idle(address)
+        kept = None if force_new else self._take_idle(address)
         return kept or await self._open(address, timeout_s)
 
     def release(self, conn: HttpConnection, *, kept_s: float | None) -> None:
@@ -101,7 +101,7 @@
         conn: HttpConnection | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                conn = await self.take(address, timeout_s=timeout_s)
+                conn = await self.acquire(address, timeout_s=timeout_s)
                 conn.send(request)
                 answer = await conn.answer(
                     max_bytes=max_bytes, on_bytes=on_bytes
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_peers.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_peers.py
@@ -16,7 +16,7 @@
     from crowrudder_model.messages import Hello, Knowledge, SnapshotRequest
     from crowrudder_model.rpc import Method
 
-_Ask = TypeVar('_Ask')
+_Request = TypeVar('_Request')
 _Reply = TypeVar('_Reply')
 
 HELLO_TIMEOUT_S = 1.0
@@ -92,8 +92,8 @@
     async def _call(
         self,
         member: Member,
-        method: Method[_Ask, _Reply],
-        request: _Ask,
+        method: Method[_Request, _Reply],
+        request: _Request,
         timeout_s: float,
     ) -> _Reply:
         peer = member.rpc_address
--- a/packages/daemon/src/crowrudder_daemon/knowledge/_task.py
+++ b/packages/daemon/src/crowrudder_daemon/knowledge/_task.py
@@ -77,7 +77,7 @@
         pace: ExchangeIntervals = DEFAULT_PACE,
     ) -> None:
         super().__init__(runtime.log)
-        self.hinders = ''
+        self.blocking_reason = ''
         self.snapshot = Snapshot()
         self._state = KnowledgeState(runtime, self._apply_snapshot)
         self._on_change = on_change
@@ -190,7 +190,7 @@
         The first call waits for a random time, because hosts that start
         together, as after a power cut, must not call all at once.
         """
-        self.hinders = 'asks platform and peers what is in force'
+        self.blocking_reason = 'asks platform and peers what is in force'
         await asyncio.sleep(self._random.uniform(0, self._poll_s))
         while not self._state.knows_members:
             await self._read(Source.MEMBERS, watch=False)
@@ -201,7 +201,7 @@
                 )
         await self._exchange_with_neighbours()
         self._push_if(self._state.open_config())
-        self.hinders = ''
+        self.blocking_reason = ''
         for source in Source:
             self.spawn(self._follow(source))
         self.spawn(self._exchange_loop())
@@ -250,9 +250,11 @@
             paused_s, last = now - last, now
             if paused_s > SUSPENSION_THRESHOLD_S and self.active_config.is_open:
                 self._log.warning('event loop paused for %.1f s', paused_s)
-                self.hinders = 'stood still and asks peers what is in force'
+                self.blocking_reason = (
+                    'stood still and asks peers what is in force'
+                )
                 await self._exchange_with_neighbours()
-                self.hinders = ''
+                self.blocking_reason = ''
 
     async def _exchange_loop(self) -> None:
         while True:
--- a/packages/daemon/src/crowrudder_daemon/rpc/_client.py
+++ b/packages/daemon/src/crowrudder_daemon/rpc/_client.py
@@ -20,14 +20,14 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-_Ask = TypeVar('_Ask')
+_Request = TypeVar('_Request')
 _Reply = TypeVar('_Reply')
 
 CALL_TIMEOUT_S = 3.0
 _END: Any = vars(aio)['EOF']
 
 
-class PeerStream(Generic[_Ask, _Reply]):
+class PeerStream(Generic[_Request, _Reply]):
     """A stream to a peer; every failure is raised as `PeerLostError`."""
 
     def __init__(self, call: Any, *, step: str, peer: str) -> None:
@@ -35,7 +35,7 @@
         self._step = step
         self._peer = peer
 
-    async def send(self, message: _Ask) -> None:
+    async def send(self, message: _Request) -> None:
         """Send one message."""
         try:
             await self._call.write(message)
@@ -83,8 +83,8 @@
     async def call(
         self,
         peer: str,
-        method: Method[_Ask, _Reply],
-        request: _Ask,
+        method: Method[_Request, _Reply],
+        request: _Request,
         *,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> _Reply:
@@ -100,7 +100,7 @@
             request_serializer=encode_message,
             response_deserializer=partial(
                 _decode,
-                kind=method.reply,
+                kind=method.reply_class,
                 peer=peer,
             ),
         )
@@ -123,9 +123,9 @@
     def open(
         self,
         peer: str,
-        method: Method[_Ask, _Reply],
-        request: _Ask | None = None,
-    ) -> PeerStream[_Ask, _Reply]:
+        method: Method[_Request, _Reply],
+        request: _Request | None = None,
+    ) -> PeerStream[_Request, _Reply]:
         """Open a stream; ``request`` is for calls that take one message."""
         channel = self._channel(peer)
         opener = (
@@ -138,7 +138,7 @@
             request_serializer=encode_message,
             response_deserializer=partial(
                 _decode,
-                kind=method.reply,
+                kind=method.reply_class,
                 peer=peer,
             ),
         )
--- a/packages/daemon/src/crowrudder_daemon/rpc/_server.py
+++ b/packages/daemon/src/crowrudder_daemon/rpc/_server.py
@@ -45,7 +45,9 @@
         """Register a coroutine function or async generator for a method."""
         self._handlers[method.name] = _HANDLER_FACTORIES[method.kind](
             handler,
-            request_deserializer=partial(decode_message, kind=method.ask),
+            request_deserializer=partial(
+                decode_message, kind=method.request_class
+            ),
             response_serializer=encode_message,
         )
 
--- a/packages/model/src/crowrudder_model/messages/_gossip.py
+++ b/packages/model/src/crowrudder_model/messages/_gossip.py
@@ -42,20 +42,20 @@
 class ForwardedStatus(msgspec.Struct, frozen=True, array_like=True):
     """Another process's forwarded status, and its age in seconds."""
 
-    word: MemberStatus
+    status: MemberStatus
     age_s: float
 
 
 class LastSeen(msgspec.Struct, frozen=True, array_like=True):
     """When an entry was last seen, without its complete status.
 
-    It takes a fifth of the bytes of a status. ``life`` identifies the
+    It takes a fifth of the bytes of a status. ``incarnation_hash`` identifies the
     incarnation of the process, see `incarnation_hash`; ``age_ms`` is the age
     of its last status in milliseconds.
     """
 
     ip: str
-    life: int
+    incarnation_hash: int
     age_ms: int
     ready: bool = False
     leaving: bool = False
@@ -109,13 +109,13 @@
 ):
     """Load reports of one region's engines, as an entry has received them.
 
-    ``ages_ms`` are the ages of the reports, in milliseconds. ``pass_on`` asks
+    ``ages_ms`` are the ages of the reports, in milliseconds. ``forward`` asks
     the receiver to forward them to the entries of its own region.
     """
 
     loads: tuple[EngineLoad, ...]
     ages_ms: tuple[int, ...]
-    pass_on: bool = False
+    forward: bool = False
 
 
 class ChunkInventory(
@@ -157,7 +157,7 @@
     ``last_seen_entries`` tells when some entries were last seen.
     """
 
-    word: MemberStatus
+    status: MemberStatus
     revision: int = 0
     confirmed_s: float = 1.0e9
     asks_for_reply: bool = False
--- a/packages/model/src/crowrudder_model/messages/_limits.py
+++ b/packages/model/src/crowrudder_model/messages/_limits.py
@@ -21,4 +21,4 @@
 class LimitUpdate(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Limit reports of some upstreams."""
 
-    words: tuple[LimitReport, ...]
+    reports: tuple[LimitReport, ...]
--- a/packages/model/src/crowrudder_model/messages/_suspects.py
+++ b/packages/model/src/crowrudder_model/messages/_suspects.py
@@ -12,7 +12,7 @@
     request had not begun there, or had begun just before the end.
     """
 
-    life: str
+    incarnation: str
     ended_ms: int
     is_fresh: bool = True
 
@@ -38,4 +38,4 @@
 ):
     """Suspicion reports on some requests."""
 
-    words: tuple[SuspicionReport, ...]
+    reports: tuple[SuspicionReport, ...]
--- a/packages/model/src/crowrudder_model/rpc/_methods.py
+++ b/packages/model/src/crowrudder_model/rpc/_methods.py
@@ -11,7 +11,7 @@
 
 SERVICE_NAME = 'crowrudder.Peer'
 
-_Ask = TypeVar('_Ask')
+_Request = TypeVar('_Request')
 _Reply = TypeVar('_Reply')
 
 
@@ -24,7 +24,7 @@
 
 
 @frozen
-class Method(Generic[_Ask, _Reply]):
+class Method(Generic[_Request, _Reply]):
     """One RPC method.
 
     Example
@@ -34,8 +34,8 @@
     """
 
     name: str
-    ask: type[_Ask]
-    reply: type[_Reply]
+    request_class: type[_Request]
+    reply_class: type[_Reply]
     kind: CallKind = CallKind.UNARY
 
     @property
--- a/scripts/_explore_world.py
+++ b/scripts/_explore_world.py
@@ -267,7 +267,7 @@
         self.owner.close(Outcome.NOT_RUN)
 
     def _on_break(self, move: Move) -> None:
-        match self.owner.lost(_key(move.attempt)):
+        match self.owner.on_lost(_key(move.attempt)):
             case Settle():
                 self.settling |= {move.attempt}
             case RetryElsewhere():
@@ -332,9 +332,9 @@
                 self._settle_attempt(key, SettledState(message.note))
             case Kind.REFUSED if _is_streaming(self.owner, key):
                 if message.note != 'duplicate_message':
-                    self.owner.refused(key)
+                    self.owner.on_refused(key)
             case Kind.FINAL if _is_streaming(self.owner, key):
-                self.owner.ended(key, Outcome.ANSWERED)
+                self.owner.on_ended(key, Outcome.ANSWERED)
                 if self.owner.closed is None:
                     self.owner.close(Outcome.ANSWERED)
 
@@ -342,7 +342,7 @@
         if key.attempt not in self.settling or self.owner.closed is not None:
             return
         self.settling -= {key.attempt}
-        decision = self.owner.settled(key, state)
+        decision = self.owner.on_settled(key, state)
         if isinstance(decision, Outcome):
             self.owner.close(decision)
 
--- a/tests/daemon/test_entry_refusals.py
+++ b/tests/daemon/test_entry_refusals.py
@@ -10,9 +10,9 @@
 
 from crowrudder_daemon.entry._admission import Admission
 from crowrudder_daemon.entry._caller_request import CallerRequest, CallHead
+from crowrudder_daemon.entry._final_outcome import FinalOutcome
 from crowrudder_daemon.entry._handlers import make_application
 from crowrudder_daemon.entry._open_answers import OpenAnswers
-from crowrudder_daemon.entry._parts import Ended
 from crowrudder_daemon.entry._requests import RequestsTask
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_daemon.process import Runtime
@@ -83,6 +83,6 @@
         )
         req = CallerRequest(head=head, service='')
         ended = Admission(1).enter(req, Snapshot(bundle=bundle), now=0)
-        assert isinstance(ended, Ended)
+        assert isinstance(ended, FinalOutcome)
         assert (ended.http_status, ended.code) == (503, 'no_configuration')
         assert ended.retry_after_s > 0
--- a/tests/exploration/test_explore.py
+++ b/tests/exploration/test_explore.py
@@ -59,7 +59,7 @@
 
     def test_gone_incarnation_treated_as_never_started(self, monkeypatch):
         def retry_elsewhere(self, key):
-            return self.refused(key)
+            return self.on_refused(key)
 
         monkeypatch.setattr(RequestOwner, '_on_agent_gone', retry_elsewhere)
         assert explored(deaths=1).broken
--- a/tests/fleet/test_attempt_line.py
+++ b/tests/fleet/test_attempt_line.py
@@ -87,7 +87,7 @@
 class Pool:
     conn: Connection
 
-    async def take(self, address, *, timeout_s):
+    async def acquire(self, address, *, timeout_s):
         return self.conn
 
 
--- a/tests/fleet/test_end_races.py
+++ b/tests/fleet/test_end_races.py
@@ -274,15 +274,15 @@
             releases = entry.catalog.view.releases
             releases.window_s = 0.5
             pool = entry.upstreams.pool
-            real = pool.take
+            real = pool.acquire
 
-            async def take(*args, **more):
+            async def acquire(*args, **more):
                 if releases.newest('m') is None:
                     world.name_version(2)
                     await world.ready()
                 return await real(*args, **more)
 
-            monkeypatch.setattr(pool, 'take', take)
+            monkeypatch.setattr(pool, 'acquire', acquire)
             answer = await world.ask(
                 '/draft/x', method='POST', request_id='a', X_Model='m'
             )
--- a/tests/fleet/test_late_sends.py
+++ b/tests/fleet/test_late_sends.py
@@ -86,13 +86,13 @@
 def delay_connections(entry, *, by_s):
     """Delay an entry's connections to upstreams."""
     pool = entry.upstreams.pool
-    real = pool.take
+    real = pool.acquire
 
-    async def take(*args, **more):
+    async def acquire(*args, **more):
         await asyncio.sleep(by_s)
         return await real(*args, **more)
 
-    pool.take = take
+    pool.acquire = acquire
 
 
 async def ask_model(world, path):
--- a/tests/fleet/test_load_relay.py
+++ b/tests/fleet/test_load_relay.py
@@ -86,10 +86,10 @@
 
     def test_a_received_batch_is_forwarded_once_in_the_own_region(self, clock):
         relay, peers = relay_at(ENTRIES[0].ip, 'a')
-        batch = LoadBatch(loads=(load(),), ages_ms=(10,), pass_on=True)
+        batch = LoadBatch(loads=(load(),), ages_ms=(10,), forward=True)
         relay.forward(batch)
         ((sent, ips),) = peers.sent
-        assert not sent.pass_on
+        assert not sent.forward
         assert ENTRIES[0].ip not in ips
         assert len(ips) == 9
 
--- a/tests/fleet/test_messages_by_size.py
+++ b/tests/fleet/test_messages_by_size.py
@@ -175,7 +175,7 @@
             ip for ip, task in net.tasks.items() if net._has_role(task, 'agent')
         )
         agent = next(agents)
-        return agent, Heartbeat(word=net.tasks[agent].roster.own, **more)
+        return agent, Heartbeat(status=net.tasks[agent].roster.own, **more)
 
     @pytest.mark.parametrize(
         ('more', 'is_fed'), [({}, True), ({'asks_for_reply': True}, False)]
--- a/tests/fleet/test_own_settings.py
+++ b/tests/fleet/test_own_settings.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crowrudder_daemon.fleet import Tuning, settings_of
+from crowrudder_daemon.fleet import Tuning, process_settings
 from crowrudder_daemon.fleet._tuning import read_tuning, tuning_keys
 from crowrudder_daemon.settings import SettingsError
 from crowrudder_model.fleet import Bounds, Node
@@ -76,7 +76,7 @@
             peer_ports=(7700, 7715),
             bounds=Bounds(stop_s=8),
         )
-        cfg = settings_of(node, Tuning())
+        cfg = process_settings(node, Tuning())
         assert cfg.limits.drain_s <= 7
         assert cfg.process.admin_port == 7715
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -80,7 +80,7 @@
     transport: Any = FakeTransport()
     task._transport = transport
     for number in range(1, entries + 1):
-        heartbeat = Heartbeat(word=entry_status(number))
+        heartbeat = Heartbeat(status=entry_status(number))
         task._apply_heartbeat(heartbeat, entry_status(number).ip)
     transport.sent.clear()
     return task, transport
@@ -134,7 +134,7 @@
             task._random, now=1.0e9
         )
         heartbeat = Heartbeat(
-            word=entry_status(1), last_seen_entries=last_seen_entries
+            status=entry_status(1), last_seen_entries=last_seen_entries
         )
         task._apply_heartbeat(heartbeat, entry_status(1).ip)
         ((ip, request),) = transport.sent
@@ -144,6 +144,8 @@
     def test_isolated_process_receives_other_entries(self):
         task, transport = make_task('entry', 20)
         newcomer = entry_status(99)
-        heartbeat = Heartbeat(word=newcomer, asks_for_reply=True, is_alone=True)
+        heartbeat = Heartbeat(
+            status=newcomer, asks_for_reply=True, is_alone=True
+        )
         task._apply_heartbeat(heartbeat, newcomer.ip)
         assert transport.sent[0][1].others
--- a/tests/fuzz/test_edges.py
+++ b/tests/fuzz/test_edges.py
@@ -16,7 +16,7 @@
 from crowrudder_daemon.knowledge import Snapshot
 from crowrudder_model.declared import Customer, Service, bundle_of
 from support.aio import run
-from support.path import BUNDLE, Path
+from support.path import BUNDLE, InProcessFleet
 
 DECLARED = BUNDLE.declaration
 SNAPSHOT = Snapshot(
@@ -42,7 +42,7 @@
 
 async def failed_checks() -> list[str]:
     """Send all hostile calls to one entry at once; return failed checks."""
-    async with Path(agents=0) as path:
+    async with InProcessFleet(agents=0) as path:
         (entry,) = path.entries
         entry.requests.post(SnapshotReceived(SNAPSHOT))
         await asyncio.sleep(0)
--- a/tests/http/test_connection.py
+++ b/tests/http/test_connection.py
@@ -24,7 +24,7 @@
 
 
 async def answer_of(pool, address):
-    conn = await pool.take(address, timeout_s=1)
+    conn = await pool.acquire(address, timeout_s=1)
     conn.send(GET)
     answer = await conn.answer(max_bytes=1000)
     return conn, answer
@@ -63,7 +63,9 @@
             head = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % size
             consumed: list[bytes] = []
             async with serving([head + bytes(size)]) as server:
-                conn = await ConnectionPool().take(server.address, timeout_s=1)
+                conn = await ConnectionPool().acquire(
+                    server.address, timeout_s=1
+                )
                 conn.send(GET)
                 await conn.head()
                 await conn.relay(consumed.append, pause_s=1)
@@ -77,7 +79,9 @@
         async def check():
             text = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
             async with serving([text], close=True) as server:
-                conn = await ConnectionPool().take(server.address, timeout_s=1)
+                conn = await ConnectionPool().acquire(
+                    server.address, timeout_s=1
+                )
                 conn.send(GET)
                 await conn.head()
                 with pytest.raises(BrokenAnswerError):
@@ -195,7 +199,9 @@
             stray = b'HTTP/1.1 200 OK\r\nX-N: 1\r\nContent-Length: 1\r\n\r\na'
             own = b'HTTP/1.1 200 OK\r\nX-N: 2\r\nContent-Length: 1\r\n\r\nb'
             async with serving([stray + own]) as server:
-                conn = await ConnectionPool().take(server.address, timeout_s=1)
+                conn = await ConnectionPool().acquire(
+                    server.address, timeout_s=1
+                )
                 conn.send(GET)
                 assert (await conn.head()).header('x-n') == '1'
                 await conn.drain()
@@ -222,7 +228,7 @@
         async def check():
             async with serving([ANSWER], read_head_only=True) as server:
                 pool = ConnectionPool()
-                conn = await pool.take(server.address, timeout_s=1)
+                conn = await pool.acquire(server.address, timeout_s=1)
                 body = b'x' * 32_000_000
                 conn.send(
                     WireRequest(
@@ -256,7 +262,7 @@
             async with serving([]) as server:
                 address = server.address
             with pytest.raises(NotConnectedError):
-                await ConnectionPool().take(address, timeout_s=1)
+                await ConnectionPool().acquire(address, timeout_s=1)
 
         run(check())
 
@@ -277,7 +283,9 @@
 
         async def check():
             async with serving([]) as server:
-                conn = await ConnectionPool().take(server.address, timeout_s=1)
+                conn = await ConnectionPool().acquire(
+                    server.address, timeout_s=1
+                )
                 assert conn.unsent_bytes == 0
                 # More than the socket buffers of both sides hold.
                 size = 32 * 1024 * 1024
--- a/tests/limits/test_stated_limits.py
+++ b/tests/limits/test_stated_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crowrudder_core.limits import NamedLimits, senders_of
+from crowrudder_core.limits import StatedLimits, senders_of
 from crowrudder_model.messages import LimitReport
 from support.limits_world import NAMED_AT_S, LimitsWorld, Load
 
@@ -85,19 +85,19 @@
         age_ms=st.integers(-(2**40), 2**40),
     )
     def test_any_numbers_are_accepted(self, per_s, age_ms):
-        limits = NamedLimits(lambda *_: 1)
+        limits = StatedLimits(lambda *_: 1)
         limits.on_report(LimitReport('u', per_s, age_ms), now=100)
         assert limits.wait_s(['u'], now=100) > 0
         limits.take('u', now=101)
 
     def test_older_report_is_ignored(self):
-        limits = NamedLimits(lambda *_: 1)
+        limits = StatedLimits(lambda *_: 1)
         assert limits.on_answer('u', 1.0, now=100) is not None
         assert limits.on_report(LimitReport('u', -1, 500), now=100.1) is None
         assert not limits.has_capacity('u', now=100.1)
 
     def test_limits_that_change_per_answer_are_sent_at_a_bounded_rate(self):
-        limits = NamedLimits(lambda *_: 1)
+        limits = StatedLimits(lambda *_: 1)
         sent_reports = [
             limits.on_answer('u', 1.0 + number % 7, now=100 + number / 1000)
             for number in range(1000)
@@ -105,13 +105,13 @@
         assert sum(report is not None for report in sent_reports) <= 5
 
     def test_limit_that_is_not_repeated_expires(self):
-        limits = NamedLimits(lambda *_: 0)
+        limits = StatedLimits(lambda *_: 0)
         limits.on_answer('u', 1.0, now=100)
         assert not limits.has_capacity('u', now=119)
         assert limits.has_capacity('u', now=121)
 
     def test_number_of_known_limits_is_bounded(self):
-        limits = NamedLimits(lambda *_: 0)
+        limits = StatedLimits(lambda *_: 0)
         for number in range(1500):
             limits.on_answer(f'u{number}', 1.0, now=100)
         assert math.isinf(limits.wait_s(['u1499'], now=100))
--- a/tests/membership/test_partners.py
+++ b/tests/membership/test_partners.py
@@ -17,7 +17,7 @@
 REGIONS = ('a', 'b', 'c')
 
 
-def word(ip, region='a', incarnation='1', started_at=1.0):
+def status(ip, region='a', incarnation='1', started_at=1.0):
     return MemberStatus(
         ip=ip,
         role='entry',
@@ -37,12 +37,12 @@
 
     def __init__(self, size, seed):
         self.random = random.Random(seed)
-        words = [word(str(each), region_of(each)) for each in range(size)]
-        self.rosters = {each.ip: Roster(each) for each in words}
+        statuses = [status(str(each), region_of(each)) for each in range(size)]
+        self.rosters = {each.ip: Roster(each) for each in statuses}
         self.dead = set()
         self.datagrams = 0
         for roster in self.rosters.values():
-            for each in words:
+            for each in statuses:
                 roster.on_status(each, 0, now=0)
 
     def send_heartbeats(self, now):
@@ -116,36 +116,36 @@
                 assert not live & fleet.dead
 
     def test_agent_keeps_its_live_contacts(self):
-        words = [word(str(each), region_of(each)) for each in range(30)]
-        chosen = contacts('agent', words, 'a')
-        fewer = [each for each in words if each.ip != chosen[0]]
+        statuses = [status(str(each), region_of(each)) for each in range(30)]
+        chosen = contacts('agent', statuses, 'a')
+        fewer = [each for each in statuses if each.ip != chosen[0]]
         assert len(chosen) == 3
         assert contacts('agent', fewer, 'a')[:2] == chosen[1:]
 
     def test_agent_without_an_entry_in_its_region_uses_others(self):
-        assert contacts('agent', [word('1', 'b')], 'a') == ['1']
+        assert contacts('agent', [status('1', 'b')], 'a') == ['1']
 
     def test_all_choose_the_same_relays(self):
-        words = [word(str(each), region_of(each)) for each in range(30)]
-        shuffled = random.Random(5).sample(words, len(words))
-        assert relays(words, 'b') == relays(shuffled, 'b')
-        assert len(relays(words, 'b')) == 2
+        statuses = [status(str(each), region_of(each)) for each in range(30)]
+        shuffled = random.Random(5).sample(statuses, len(statuses))
+        assert relays(statuses, 'b') == relays(shuffled, 'b')
+        assert len(relays(statuses, 'b')) == 2
 
 
 class TestLastSeen:
     def sighting(self, known, age_ms, *, leaving=False):
         return LastSeen(
             ip=known.ip,
-            life=incarnation_hash(known),
+            incarnation_hash=incarnation_hash(known),
             age_ms=age_ms,
             ready=not leaving,
             leaving=leaving,
         )
 
     def test_newest_last_seen_time_of_an_entry_counts(self):
-        roster = Roster(word('a'))
-        roster.on_status(word('b'), 0, now=0)
-        roster.on_last_seen(self.sighting(word('b'), 200), now=2)
+        roster = Roster(status('a'))
+        roster.on_status(status('b'), 0, now=0)
+        roster.on_last_seen(self.sighting(status('b'), 200), now=2)
         assert len(roster.entries(now=3)) == 2
         assert math.isclose(
             roster.last_seen_entries(random.Random(1), now=3)[0].age_ms,
@@ -154,22 +154,24 @@
         )
 
     def test_older_last_seen_entry_is_ignored(self):
-        roster = Roster(word('a'))
-        roster.on_status(word('b'), 0, now=2)
+        roster = Roster(status('a'))
+        roster.on_status(status('b'), 0, now=2)
         roster.on_last_seen(
-            self.sighting(word('b'), 1000, leaving=True), now=2.5
+            self.sighting(status('b'), 1000, leaving=True), now=2.5
         )
         assert roster.known(now=2.5)[0].ready
 
     def test_leaving_entry_is_known_through_others(self):
-        roster = Roster(word('a'))
-        roster.on_status(word('b'), 0, now=2)
-        roster.on_last_seen(self.sighting(word('b'), 10, leaving=True), now=2.5)
+        roster = Roster(status('a'))
+        roster.on_status(status('b'), 0, now=2)
+        roster.on_last_seen(
+            self.sighting(status('b'), 10, leaving=True), now=2.5
+        )
         assert roster.known(now=2.5)[0].leaving
 
     def test_status_of_unknown_entry_is_requested(self):
-        roster = Roster(word('a'))
-        assert roster.on_last_seen(self.sighting(word('b'), 10), now=2)
+        roster = Roster(status('a'))
+        assert roster.on_last_seen(self.sighting(status('b'), 10), now=2)
         assert not roster.known(now=2)
 
     def test_status_is_requested_for_a_new_incarnation_only(self):
@@ -178,14 +180,14 @@
         If incarnations aren't distinguished, last-seen entries of the new
         incarnation from others refresh the old one that is known here.
         """
-        roster = Roster(word('a'))
-        roster.on_status(word('b', incarnation='2', started_at=5.0), 0, now=2)
-        newer = self.sighting(word('b', incarnation='3'), 10)
-        older = self.sighting(word('b', incarnation='1'), 2000)
+        roster = Roster(status('a'))
+        roster.on_status(status('b', incarnation='2', started_at=5.0), 0, now=2)
+        newer = self.sighting(status('b', incarnation='3'), 10)
+        older = self.sighting(status('b', incarnation='1'), 2000)
         assert roster.on_last_seen(newer, now=2.5)
         assert not roster.on_last_seen(older, now=2.5)
 
     def test_last_seen_entry_of_the_own_process_is_ignored(self):
-        roster = Roster(word('a'))
-        own = self.sighting(word('a', incarnation='0'), 10)
+        roster = Roster(status('a'))
+        own = self.sighting(status('a', incarnation='0'), 10)
         assert not roster.on_last_seen(own, now=1)
--- a/tests/membership/test_roster.py
+++ b/tests/membership/test_roster.py
@@ -6,7 +6,7 @@
 from crowrudder_model.messages import MemberStatus
 
 
-def word(ip, incarnation='1', started_at=1.0, role='entry', **more):
+def status(ip, incarnation='1', started_at=1.0, role='entry', **more):
     return MemberStatus(
         ip=ip,
         role=role,
@@ -16,14 +16,14 @@
     )
 
 
-def ips(words):
-    return sorted(each.ip for each in words)
+def ips(statuses):
+    return sorted(each.ip for each in statuses)
 
 
 class TestRoster:
     def test_entry_is_live_while_its_status_is_recent(self):
-        roster = Roster(word('a'))
-        roster.on_status(word('b'), 0, now=10)
+        roster = Roster(status('a'))
+        roster.on_status(status('b'), 0, now=10)
         assert ips(roster.entries(now=11)) == ['a', 'b']
         assert ips(roster.entries(now=12)) == ['a']
 
@@ -34,43 +34,43 @@
         again and again. A forwarded status counted as fresh, and a tenth of
         all connections failed.
         """
-        first, second = Roster(word('a')), Roster(word('b'))
-        first.on_status(word('dead'), 0, now=0)
+        first, second = Roster(status('a')), Roster(status('b'))
+        first.on_status(status('dead'), 0, now=0)
         rng = random.Random(1)
         for now in (0.5, 1.0, 1.5, 2.0, 2.5):
             for forwarded in first.statuses_to_forward(rng, now=now):
-                second.on_status(forwarded.word, forwarded.age_s, now=now)
+                second.on_status(forwarded.status, forwarded.age_s, now=now)
             for forwarded in second.statuses_to_forward(rng, now=now):
-                first.on_status(forwarded.word, forwarded.age_s, now=now)
+                first.on_status(forwarded.status, forwarded.age_s, now=now)
         assert 'dead' not in ips(first.entries(now=2.5))
         assert 'dead' not in ips(second.entries(now=2.5))
 
     def test_later_incarnation_replaces_an_earlier_one(self):
-        roster = Roster(word('a'))
-        roster.on_status(word('b', '2', 20.0, ready=True), 1, now=10)
-        roster.on_status(word('b', '1', 5.0), 0, now=10)
+        roster = Roster(status('a'))
+        roster.on_status(status('b', '2', 20.0, ready=True), 1, now=10)
+        roster.on_status(status('b', '1', 5.0), 0, now=10)
         assert [each.incarnation for each in roster.known(now=10)] == ['2']
 
     def test_own_status_from_others_is_ignored(self):
-        roster = Roster(word('a'))
-        assert not roster.on_status(word('a', '0', 0.5), 0, now=1)
+        roster = Roster(status('a'))
+        assert not roster.on_status(status('a', '0', 0.5), 0, now=1)
         assert ips(roster.entries(now=1)) == ['a']
 
     def test_agents_are_not_listed_as_entries(self):
-        roster = Roster(word('a', role='agent'))
-        roster.on_status(word('b'), 0, now=1)
-        roster.on_status(word('c', role='agent'), 0, now=1)
+        roster = Roster(status('a', role='agent'))
+        roster.on_status(status('b'), 0, now=1)
+        roster.on_status(status('c', role='agent'), 0, now=1)
         assert ips(roster.entries(now=1)) == ['b']
 
     def test_budget_share_counts_entries_that_died_within_the_window(self):
-        roster = Roster(word('a'))
-        roster.on_status(word('b'), 0, now=0)
+        roster = Roster(status('a'))
+        roster.on_status(status('b'), 0, now=0)
         assert roster.budget_share(now=1) == 0.5
         assert roster.budget_share(now=9) == 0.5
         assert roster.budget_share(now=13) == 1
 
     def test_change_of_the_own_status_is_reported(self):
-        roster = Roster(word('a'))
+        roster = Roster(status('a'))
         assert roster.set_own(ready=True, leaving=False)
         assert not roster.set_own(ready=True, leaving=False)
         assert roster.own.ready
--- a/tests/model/test_gossip.py
+++ b/tests/model/test_gossip.py
@@ -33,7 +33,7 @@
     ready=True,
 )
 BEAT = Heartbeat(
-    word=STATUS,
+    status=STATUS,
     revision=400,
     confirmed_s=0.25,
     others=tuple(ForwardedStatus(STATUS, 0.5) for _ in range(8)),
@@ -92,7 +92,7 @@
 
     def test_suspicion_report_is_a_tenth_of_a_packet(self):
         """Reports are sent to all entries while upstreams end in succession."""
-        one = SuspicionUpdate(SUSPECTS.words[:1])
+        one = SuspicionUpdate(SUSPECTS.reports[:1])
         assert len(encode_message(one)) <= ETHERNET_BYTES / 10
 
     @given(cut=st.integers(0, 200), flip=st.integers(0, 200))
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -44,7 +44,7 @@
 
 
 def reports_of(effects):
-    return [each.word for each in effects if isinstance(each, SendSuspicion)]
+    return [each.report for each in effects if isinstance(each, SendSuspicion)]
 
 
 class TestQuarantineDecision:
@@ -111,10 +111,10 @@
 class TestCompletedRuns:
     def test_completed_run_clears_a_request(self):
         core = quarantined()
-        (word,) = reports_of(core.on_run_completed(DIGEST, now=NOW + 1))
+        (report,) = reports_of(core.on_run_completed(DIGEST, now=NOW + 1))
         assert not core.is_quarantined(DIGEST, now=NOW + 1)
         other = quarantined()
-        other.on_update(SuspicionUpdate((word,)), now=NOW + 1)
+        other.on_update(SuspicionUpdate((report,)), now=NOW + 1)
         assert not other.is_quarantined(DIGEST, now=NOW + 1)
 
     def test_frequent_request_is_not_quarantined_after_a_power_failure(self):
@@ -136,12 +136,12 @@
     def test_entry_that_saw_a_completed_run_reports_it(self):
         core = Quarantine()
         core.on_run_completed(DIGEST, now=NOW)
-        word = SuspicionReport(
+        report = SuspicionReport(
             DIGEST,
             tuple(IncarnationEnd(incarnation, 100) for incarnation in 'abc'),
         )
         (sent,) = reports_of(
-            core.on_update(SuspicionUpdate((word,)), now=NOW + 1)
+            core.on_update(SuspicionUpdate((report,)), now=NOW + 1)
         )
         assert sent.completed_ms == 1000
 
@@ -159,18 +159,18 @@
         effects = []
         for incarnation in ('a', 'b', 'c'):
             (sent,) = close_and_end(Quarantine(), DIGEST, incarnation, now=NOW)
-            effects += owner.on_update(SuspicionUpdate((sent.word,)), now=NOW)
+            effects += owner.on_update(SuspicionUpdate((sent.report,)), now=NOW)
         assert Quarantined(DIGEST, ('a', 'b', 'c')) in effects
 
     def test_known_report_is_not_forwarded(self):
         core = quarantined()
-        (word,) = core.sample_reports(random.Random(1), now=NOW + 1)
-        assert not core.on_update(SuspicionUpdate((word,)), now=NOW + 1.01)
+        (report,) = core.sample_reports(random.Random(1), now=NOW + 1)
+        assert not core.on_update(SuspicionUpdate((report,)), now=NOW + 1.01)
 
     def test_new_process_learns_from_sampled_reports(self):
-        words = quarantined().sample_reports(random.Random(1), now=NOW + 5)
+        reports = quarantined().sample_reports(random.Random(1), now=NOW + 5)
         other = Quarantine()
-        other.on_update(SuspicionUpdate(tuple(words)), now=NOW + 5)
+        other.on_update(SuspicionUpdate(tuple(reports)), now=NOW + 5)
         assert other.is_quarantined(DIGEST, now=NOW + 5)
 
     def test_few_entries_own_a_request(self):
@@ -205,7 +205,7 @@
         self, digest, ends, completed_ms, refused_ms
     ):
         core = Quarantine()
-        word = SuspicionReport(digest, tuple(ends), completed_ms, refused_ms)
-        core.on_update(SuspicionUpdate((word,)), now=NOW)
+        report = SuspicionReport(digest, tuple(ends), completed_ms, refused_ms)
+        core.on_update(SuspicionUpdate((report,)), now=NOW)
         core.is_quarantined(digest, now=NOW)
         core.sample_reports(random.Random(1), now=NOW)
--- a/tests/requests/test_owner.py
+++ b/tests/requests/test_owner.py
@@ -53,18 +53,18 @@
         owner = new_owner()
         first = owner.open_attempt()
         owner.grant(first, now=1.0)
-        assert owner.lost(first) == Settle(first)
+        assert owner.on_lost(first) == Settle(first)
         assert not owner.grant(owner.open_attempt(), now=1.0)
         never = SettledState.NEVER_STARTS
-        assert owner.settled(first, never) == RetryElsewhere(first)
+        assert owner.on_settled(first, never) == RetryElsewhere(first)
         assert owner.grant(owner.open_attempt(), now=1.0)
 
     def test_attached_attempt_keeps_its_permit(self):
         owner = new_owner()
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
-        owner.lost(key)
-        assert owner.settled(key, SettledState.ATTACHED) == Attach(key)
+        owner.on_lost(key)
+        assert owner.on_settled(key, SettledState.ATTACHED) == Attach(key)
         assert owner.has_outstanding_permit
 
 
@@ -86,8 +86,8 @@
         owner = new_owner(idempotent=True)
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
-        owner.lost(key)
-        assert owner.settled(
+        owner.on_lost(key)
+        assert owner.on_settled(
             key, SettledState.OTHER_INCARNATION
         ) == RetryElsewhere(key)
         assert owner.close(Outcome.NOT_RUN) is Outcome.UNKNOWN
@@ -96,14 +96,14 @@
         owner = new_owner(idempotent=True)
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
-        owner.ended(key, Outcome.FAILED)
+        owner.on_ended(key, Outcome.FAILED)
         assert owner.close(Outcome.NOT_RUN) is Outcome.FAILED
 
     def test_not_run_is_reported_if_the_upstream_refused(self):
         owner = new_owner()
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
-        owner.ended(key, Outcome.NOT_RUN)
+        owner.on_ended(key, Outcome.NOT_RUN)
         assert owner.close(Outcome.NOT_RUN) is Outcome.NOT_RUN
 
     def test_final_outcome_is_set_once(self):
@@ -116,6 +116,6 @@
         owner = new_owner()
         key = owner.open_attempt()
         owner.grant(key, now=1.0)
-        owner.lost(key)
+        owner.on_lost(key)
         assert owner.unreachable(key) is Outcome.UNKNOWN
         assert not owner.grant(owner.open_attempt(), now=1.0)
--- a/tests/requests/test_path.py
+++ b/tests/requests/test_path.py
@@ -11,26 +11,26 @@
 from crowrudder_daemon.entry._requests import CallerDisconnected
 from crowrudder_model import Member, Outcome
 from support.aio import run
-from support.path import Path, final, start_entry, until
+from support.path import InProcessFleet, final, start_entry, until
 
 
-def count_runs(path: Path, request_id: str) -> int:
+def count_runs(path: InProcessFleet, request_id: str) -> int:
     """Count the runs in the request logs of the upstreams."""
     return sum(agent.upstream.ran.count(request_id) for agent in path.agents)
 
 
-def count_claims(path: Path) -> int:
+def count_claims(path: InProcessFleet) -> int:
     """Count the claims that the voters hold."""
     books = [agent.claims.book for agent in path.agents]
     return sum(len(book.held(now=0.0)) for book in books)
 
 
-def open_gates(path: Path) -> None:
+def open_gates(path: InProcessFleet) -> None:
     for agent in path.agents:
         agent.upstream.gate.set()
 
 
-async def wait_until_begun(path: Path, request_id: str) -> int:
+async def wait_until_begun(path: InProcessFleet, request_id: str) -> int:
     """Wait until an upstream begins a request; return the agent's index."""
     await until(lambda: count_runs(path, request_id))
     books = [agent.upstream.ran for agent in path.agents]
@@ -49,7 +49,7 @@
         """
 
         async def scenario() -> None:
-            async with Path(agents=5, entries=2) as path:
+            async with InProcessFleet(agents=5, entries=2) as path:
                 first, second = path.entries
                 running = first.ask('enquiry')
                 await wait_until_begun(path, 'enquiry')
@@ -65,7 +65,7 @@
 
     def test_after_the_entry_died_it_does_not_run_again(self):
         async def scenario() -> None:
-            async with Path(agents=5, entries=2) as path:
+            async with InProcessFleet(agents=5, entries=2) as path:
                 first, second = path.entries
                 first.ask('enquiry')
                 await wait_until_begun(path, 'enquiry')
@@ -79,7 +79,7 @@
 
     def test_after_the_agent_died_it_does_not_run_again(self):
         async def scenario() -> None:
-            async with Path(agents=6, entries=2) as path:
+            async with InProcessFleet(agents=6, entries=2) as path:
                 first, second = path.entries
                 running = first.ask('enquiry')
                 index = await wait_until_begun(path, 'enquiry')
@@ -101,7 +101,7 @@
         """
 
         async def scenario() -> None:
-            async with Path(agents=5, entries=2) as path:
+            async with InProcessFleet(agents=5, entries=2) as path:
                 open_gates(path)
                 first, second = path.entries
                 await final(first.ask('enquiry'))
@@ -116,7 +116,7 @@
 
     def test_an_id_that_never_ran_is_free_again(self):
         async def scenario() -> None:
-            async with Path(agents=5, entries=2) as path:
+            async with InProcessFleet(agents=5, entries=2) as path:
                 open_gates(path)
                 for agent in path.agents:
                     agent.runs.state.leaving = True
@@ -142,7 +142,7 @@
         """
 
         async def scenario() -> None:
-            async with Path(agents=1) as path:
+            async with InProcessFleet(agents=1) as path:
                 entry = path.entries[0]
                 for number in (1, 2):
                     entry.ask(f'r{number}', made_here=True)
@@ -157,7 +157,7 @@
 
     def test_nothing_runs_without_reachable_voters(self):
         async def scenario() -> None:
-            async with Path(agents=5) as path:
+            async with InProcessFleet(agents=5) as path:
                 open_gates(path)
                 for agent in path.agents[:2]:
                     await agent.kill()
@@ -211,7 +211,7 @@
         async def scenario() -> None:
             server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
             port = server.sockets[0].getsockname()[1]
-            async with Path(agents=1) as path:
+            async with InProcessFleet(agents=1) as path:
                 agent = path.agents[0]
                 path.agents[0].member = Member(
                     'agent-0', 'agent', '127.0.0.1', rpc_port=port
@@ -230,7 +230,7 @@
         async def scenario() -> None:
             server = await asyncio.start_server(lambda *_: None, '127.0.0.1', 0)
             port = server.sockets[0].getsockname()[1]
-            async with Path(agents=2) as path:
+            async with InProcessFleet(agents=2) as path:
                 open_gates(path)
                 path.agents[0].member = Member(
                     'agent-0', 'agent', '127.0.0.1', rpc_port=port
@@ -252,7 +252,7 @@
 
     def test_an_idempotent_request_continues_elsewhere(self):
         async def scenario() -> None:
-            async with Path(agents=3) as path:
+            async with InProcessFleet(agents=3) as path:
                 running = path.entries[0].ask('r', idempotent=True)
                 index = await wait_until_begun(path, 'r')
                 open_gates(path)
@@ -265,7 +265,7 @@
 
     def test_a_request_that_is_not_idempotent_is_unknown_immediately(self):
         async def scenario() -> None:
-            async with Path(agents=3) as path:
+            async with InProcessFleet(agents=3) as path:
                 running = path.entries[0].ask('r', made_here=True)
                 index = await wait_until_begun(path, 'r')
                 async with asyncio.timeout(3):
@@ -292,7 +292,7 @@
         """
 
         async def scenario() -> None:
-            async with Path(agents=2) as path:
+            async with InProcessFleet(agents=2) as path:
                 entry = path.entries[0]
                 running = entry.ask('r', idempotent=True)
                 index = await wait_until_begun(path, 'r')
@@ -328,7 +328,7 @@
         """
 
         async def scenario() -> None:
-            async with Path(agents=1) as path:
+            async with InProcessFleet(agents=1) as path:
                 entry, upstream = path.entries[0], path.agents[0].upstream
                 parts = entry.ask('r', idempotent=True)
                 await wait_until_begun(path, 'r')
@@ -340,7 +340,7 @@
 
     def test_a_queued_request_is_removed_from_the_queue(self):
         async def scenario() -> None:
-            async with Path(agents=1) as path:
+            async with InProcessFleet(agents=1) as path:
                 entry, agent = path.entries[0], path.agents[0]
                 running = [entry.ask(f'r{n}', made_here=True) for n in (1, 2)]
                 await wait_until_begun(path, 'r2')
@@ -357,7 +357,7 @@
 
     def test_a_run_that_is_not_idempotent_continues(self):
         async def scenario() -> None:
-            async with Path(agents=1) as path:
+            async with InProcessFleet(agents=1) as path:
                 entry = path.entries[0]
                 parts = entry.ask('r')
                 await wait_until_begun(path, 'r')
@@ -382,7 +382,7 @@
         """
 
         async def scenario() -> None:
-            async with Path(agents=6) as path:
+            async with InProcessFleet(agents=6) as path:
                 open_gates(path)
                 for agent in path.agents[:5]:
                     agent.runs.post(
--- a/tests/requests/test_reports.py
+++ b/tests/requests/test_reports.py
@@ -7,7 +7,7 @@
 from crowrudder_daemon.agent._run_messages import ResumeRuns
 from crowrudder_model.messages import ReportRequest
 from support.aio import run
-from support.path import SERVICE, Path
+from support.path import SERVICE, InProcessFleet
 
 LONG_S = 600.0
 
@@ -21,7 +21,7 @@
 
     def test_load_waits_for_the_interval_and_a_new_version_does_not(self):
         async def story():
-            async with Path(agents=1) as path:
+            async with InProcessFleet(agents=1) as path:
                 agent, entry = path.agents[0], path.entries[0]
                 ask = ReportRequest(host='e', interval_s=LONG_S)
                 reports = agent.service._on_reports(ask, None)
--- a/tests/requests/test_second_queue_place.py
+++ b/tests/requests/test_second_queue_place.py
@@ -8,7 +8,7 @@
 from crowrudder_daemon.entry._requests import CallerDisconnected
 from crowrudder_model import Outcome
 from support.aio import run
-from support.path import Path, final, until
+from support.path import InProcessFleet, final, until
 
 RETRIES = 4
 
@@ -19,7 +19,7 @@
 
     Yields the serving agent, the other agent and the parts of the answer.
     """
-    async with Path(agents=2, entries=2) as path:
+    async with InProcessFleet(agents=2, entries=2) as path:
         serving, other = path.agents
         entry, busy = path.entries
         entry.requests._budget.balance = RETRIES
--- a/tests/requests/test_slow_reader.py
+++ b/tests/requests/test_slow_reader.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from crowrudder_daemon.entry import build_entry
-from crowrudder_daemon.entry._parts import Ended
+from crowrudder_daemon.entry._final_outcome import FinalOutcome
 from crowrudder_daemon.entry._requests import RequestReceived
 from crowrudder_daemon.process import Runtime
 from crowrudder_model import Outcome
@@ -33,7 +33,9 @@
         piece = Piece(request_id='r', version='plain', index=0, body=LONG_BODY)
         message.parts.put_nowait(piece)
         message.parts.put_nowait(
-            Ended(outcome=Outcome.ANSWERED, code='ok', status=200, pieces=1)
+            FinalOutcome(
+                outcome=Outcome.ANSWERED, code='ok', status=200, pieces=1
+            )
         )
 
 
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -17,7 +17,7 @@
     PlatformStore,
 )
 
-from crowrudder_daemon.fleet import Tuning, settings_of
+from crowrudder_daemon.fleet import Tuning, process_settings
 from crowrudder_daemon.fleet_agent import build_fleet_agent
 from crowrudder_daemon.fleet_entry import build_fleet_entry
 from crowrudder_daemon.http import (
@@ -101,7 +101,7 @@
 def runtime_of(node):
     """Return the runtime of a process in a test."""
     log = logging.getLogger('crowrudder.test')
-    return Runtime(cfg=settings_of(node, Tuning()), log=log)
+    return Runtime(cfg=process_settings(node, Tuning()), log=log)
 
 
 @define
@@ -126,7 +126,7 @@
 
 async def call(address, request):
     """Send one request on a new connection."""
-    conn = await ConnectionPool().take(address, timeout_s=2)
+    conn = await ConnectionPool().acquire(address, timeout_s=2)
     conn.send(request)
     parts: list[bytes] = []
     head = None
--- a/tests/support/limits_world.py
+++ b/tests/support/limits_world.py
@@ -14,7 +14,7 @@
 
 from attrs import define, field, frozen
 
-from crowrudder_core.limits import NamedLimits, senders_of
+from crowrudder_core.limits import StatedLimits, senders_of
 
 ANSWER_DELAY_S = (0.05, 0.3)
 MESSAGE_DELAY_S = (0.004, 0.05)
@@ -108,7 +108,7 @@
             chosen = senders_of(upstream_id, per_s, ips, [])
             return 1 / len(chosen) if str(entry) in chosen else 0
 
-        return NamedLimits(share_of)
+        return StatedLimits(share_of)
 
     def _schedule(self, at, call, *args):
         heapq.heappush(self._events, (at, next(self._count), call, args))
--- a/tests/support/path.py
+++ b/tests/support/path.py
@@ -23,8 +23,8 @@
     CallHead,
     CompletionBody,
 )
-from crowrudder_daemon.entry._links import ReportReceived
-from crowrudder_daemon.entry._parts import Ended
+from crowrudder_daemon.entry._final_outcome import FinalOutcome
+from crowrudder_daemon.entry._report_streams import ReportReceived
 from crowrudder_daemon.entry._requests import (
     RequestReceived,
     RequestsTask,
@@ -112,7 +112,7 @@
 
 
 @define(eq=False)
-class AgentEnd:
+class AgentStub:
     """One agent with its upstream and services."""
 
     member: Member
@@ -131,7 +131,7 @@
 
 
 @define(eq=False)
-class EntryEnd:
+class EntryStub:
     """The requests task of one entry."""
 
     runtime: Runtime
@@ -150,15 +150,15 @@
         await self.peers.close()
 
 
-class Path:
+class InProcessFleet:
     """A small fleet, used with `async with`."""
 
     def __init__(self, *, agents: int, entries: int = 1) -> None:
         self._sizes = (agents, entries)
-        self.agents: list[AgentEnd] = []
-        self.entries: list[EntryEnd] = []
+        self.agents: list[AgentStub] = []
+        self.entries: list[EntryStub] = []
 
-    async def __aenter__(self) -> Path:
+    async def __aenter__(self) -> InProcessFleet:
         agents, entries = self._sizes
         for number in range(agents):
             self.agents.append(await start_agent(number))
@@ -211,7 +211,7 @@
     )
 
 
-async def start_agent(number: int, *, slots: int = 2) -> AgentEnd:
+async def start_agent(number: int, *, slots: int = 2) -> AgentStub:
     """Start an agent on a free port."""
     cfg = entry_settings(host=f'agent-{number}')
     cfg = evolve(cfg, limits=evolve(cfg.limits, slots=slots))
@@ -239,24 +239,24 @@
         upstream='engine',
     )
     await asyncio.sleep(0)
-    return AgentEnd(member, upstream, runs, server, peers, service, claims)
+    return AgentStub(member, upstream, runs, server, peers, service, claims)
 
 
-def start_entry(number: int) -> EntryEnd:
+def start_entry(number: int) -> EntryStub:
     """Start the requests task of an entry."""
     cfg = entry_settings(host=f'entry-{number}')
     runtime = Runtime(cfg=cfg, log=logging.getLogger('entry'))
     peers = PeerClient()
     requests = RequestsTask(runtime, peers)
     requests.start()
-    return EntryEnd(runtime, requests, peers)
+    return EntryStub(runtime, requests, peers)
 
 
-async def final(parts: asyncio.Queue[Any]) -> Ended:
+async def final(parts: asyncio.Queue[Any]) -> FinalOutcome:
     """Read parts until the final outcome."""
     while True:
         part = await parts.get()
-        if isinstance(part, Ended):
+        if isinstance(part, FinalOutcome):
             return part
 
 
--- a/tests/support/quarantine_world.py
+++ b/tests/support/quarantine_world.py
@@ -242,11 +242,11 @@
     def _apply_effects(self, entry, effects):
         for effect in effects:
             match effect:
-                case SendSuspicion(word=report, audience=Audience.PARTNERS):
+                case SendSuspicion(report=report, audience=Audience.PARTNERS):
                     others = [n for n in self.names if n != str(entry)]
                     count = min(UPDATE_PARTNERS, len(others))
                     self._send_report(report, self.rng.sample(others, count))
-                case SendSuspicion(word=report):
+                case SendSuspicion(report=report):
                     chosen = owners(report.digest, self.names)
                     self._send_report(
                         report, [n for n in chosen if n != str(entry)]
--- a/tests/weights/test_adapter.py
+++ b/tests/weights/test_adapter.py
@@ -60,7 +60,7 @@
         orders=EngineOrderer(engine),
         runs=nothing,
         peers=nothing,
-        note=EngineStatus(),
+        engine_status=EngineStatus(),
         on_progress=lambda _: None,
     )
 
--- a/tests/weights/test_hosts.py
+++ b/tests/weights/test_hosts.py
@@ -63,7 +63,7 @@
         for _ in range(100):
             hosts.on_hosts(places_of(size))
             hosts.rank('m@1')
-            hosts.part('m@1')
+            hosts.layer_range('m@1')
         assert len(rankings) == 2
 
     @SIZES
@@ -73,7 +73,10 @@
             places = places_of(count)
             hosts.on_hosts(places)
             assert hosts.rank('m@1') == ranked('m@1', places).index(OWN)
-            assert hosts.part('m@1') == assign_layer_ranges('m@1', places)[OWN]
+            assert (
+                hosts.layer_range('m@1')
+                == assign_layer_ranges('m@1', places)[OWN]
+            )
 
     def test_other_hosts_are_grouped_by_region(self):
         hosts = ServiceHosts(host=OWN)
--- a/tests/weights/test_service.py
+++ b/tests/weights/test_service.py
@@ -132,7 +132,7 @@
             'old',
             self.transfer,
             slots=UploadSlots(4),
-            note=EngineStatus(wanted=frozenset(('old',))),
+            engine_status=EngineStatus(wanted=frozenset(('old',))),
         )
 
     async def stock(self, _address, _asked):
